--- a/src/replicas/wait_estimate.h
+++ b/src/replicas/first_byte_time_estimator.h
@@ -6,7 +6,7 @@
 
 /// \brief Learns how long answers of a service take to begin: a part that is always there, and a
 /// part for each prompt token that has to be read. An exponentially weighted linear regression.
-class wait_estimate
+class first_byte_time_estimator
 {
 public:
     /// \param tokens prompt tokens that the replica had to read.
@@ -14,13 +14,13 @@
     void add(double tokens, double ms);
 
     /// \returns milliseconds for a prompt that is cached whole.
-    double base() const;
+    double cachedPromptMs() const;
     /// \returns milliseconds a prompt token.
-    double perToken() const;
+    double msPerToken() const;
     /// \returns milliseconds expected for \p tokens.
-    double expected(double tokens) const { return base() + perToken() * tokens; }
+    double expectedMs(double tokens) const { return cachedPromptMs() + msPerToken() * tokens; }
     /// \returns average distance between expected and seen, in milliseconds.
-    double deviation() const { return m_deviation; }
+    double meanDeviationMs() const { return m_deviation; }
     int samples() const { return m_samples; }
 
 private:
--- a/src/replicas/prefix_cache.h
+++ b/src/replicas/prefix_cache.h
@@ -23,14 +23,15 @@
 public:
     /// \returns tokens at the beginning of the prompt that the replica has.
     /// \param capacity tokens that the replica keeps of what this daemon sends.
-    std::int64_t cached(const std::vector<prompt_part> &parts, std::int64_t capacity) const;
+    std::int64_t cachedPrefixTokens(const std::vector<prompt_part> &parts,
+                                    std::int64_t capacity) const;
     /// \brief The prompt goes to the replica.
-    void use(const std::vector<prompt_part> &parts, std::int64_t capacity);
+    void recordSend(const std::vector<prompt_part> &parts, std::int64_t capacity);
     void clear();
 
 private:
     /// \brief A part as it was sent last.
-    struct known_part
+    struct sent_part
     {
         /// Its tokens: a session's part grows with each turn.
         std::int64_t tokens = 0;
@@ -39,11 +40,11 @@
     };
 
     /// \returns the tokens at the beginning of \p part that the replica has.
-    std::int64_t held(const prompt_part &part, std::int64_t capacity) const;
+    std::int64_t cachedTokensOf(const prompt_part &part, std::int64_t capacity) const;
 
     /// By the part's id.
-    std::unordered_map<std::string, known_part> m_parts;
-    std::int64_t m_takenIn = 0;
+    std::unordered_map<std::string, sent_part> m_parts;
+    std::int64_t m_tokensRead = 0;
 };
 
 } // namespace azurehill
--- a/test/logic/place_words_test.cpp
+++ b/test/logic/concurrency_reports_test.cpp
@@ -17,20 +17,21 @@
 /// up to a round of gossip to be told, takes two or three rounds, and a round to be taken in.
 constexpr int sweepMs = 50;
 constexpr int roundMs = 200;
-constexpr int lagRounds = 3;
+constexpr int gossipDelayRounds = 3;
 
 /// \brief Daemons before the same engines that hear each other's words some rounds late, as they
 /// run: parts from their own demand of the moment at each sweep, bounds agreed on each round.
-class daemons_with_lag
+class delayed_gossip_daemons
 {
 public:
-    explicit daemons_with_lag(int count) : gates(std::size_t(count)), m_open(gates.size(), replicas)
+    explicit delayed_gossip_daemons(int count)
+        : gates(std::size_t(count)), m_open(gates.size(), replicas)
     {
-        told.assign(lagRounds + 1, words());
+        told.assign(gossipDelayRounds + 1, words());
     }
 
     /// \brief The daemon doubts all replicas, or has not read them.
-    void hideReplicas(int daemon) { m_open[std::size_t(daemon)] = 0; }
+    void disableReplicas(int daemon) { m_open[std::size_t(daemon)] = 0; }
 
     void step(int ms)
     {
@@ -38,44 +39,44 @@
             told.push_back(words());
             told.pop_front();
             for (std::size_t d = 0; d < gates.size(); ++d)
-                gates[d].hear(others(d));
+                gates[d].mergeReports(others(d));
         }
         for (std::size_t d = 0; d < gates.size(); ++d) {
-            service_gate &gate = gates[d];
-            gate.setEngines({m_open[d], m_open[d] * slots});
-            gate.take();
+            concurrency_limiter &gate = gates[d];
+            gate.setEngineCapacity({m_open[d], m_open[d] * slots});
+            gate.admitQueued();
         }
     }
 
     int inside() const
     {
         int sum = 0;
-        for (const service_gate &gate : gates)
-            sum += gate.inside();
+        for (const concurrency_limiter &gate : gates)
+            sum += gate.inFlight();
         return sum;
     }
 
     void want(std::size_t daemon, int count)
     {
         for (int i = 0; i < count; ++i)
-            gates[daemon].enter({++m_lastTicket, 1, program_hope::OnTime, seconds(1)});
+            gates[daemon].tryAdmit({++m_lastTicket, 1, deadline_feasibility::OnTime, seconds(1)});
     }
 
-    std::vector<service_gate> gates;
-    std::deque<std::vector<place_word>> told;
+    std::vector<concurrency_limiter> gates;
+    std::deque<std::vector<concurrency_report>> told;
 
 private:
-    std::vector<place_word> words()
+    std::vector<concurrency_report> words()
     {
-        std::vector<place_word> all;
-        for (service_gate &gate : gates)
-            all.push_back(gate.tell());
+        std::vector<concurrency_report> all;
+        for (concurrency_limiter &gate : gates)
+            all.push_back(gate.publishReport());
         return all;
     }
 
-    std::vector<place_word> others(std::size_t daemon) const
+    std::vector<concurrency_report> others(std::size_t daemon) const
     {
-        std::vector<place_word> words = told.front();
+        std::vector<concurrency_report> words = told.front();
         words.erase(words.begin() + std::ptrdiff_t(daemon));
         return words;
     }
@@ -88,18 +89,19 @@
 /// requests came to an eleventh one that is cut off; nothing comes to it if it is not.
 /// \param isCutOff whether the eleventh doubts all replicas, or has not read them, and so can't use
 /// the places that it asks for.
-service_gate otherGate(bool isCutOff)
+concurrency_limiter otherLimiter(bool isCutOff)
 {
-    daemons_with_lag all(11);
+    delayed_gossip_daemons all(11);
     if (isCutOff)
-        all.hideReplicas(0);
+        all.disableReplicas(0);
     constexpr int burstMs = 3000;
     for (int ms = 0; ms < burstMs + 6000; ms += sweepMs) {
         if (ms == burstMs)
             all.want(0, isCutOff ? 100 : 0);
         for (std::size_t d = 1; d < all.gates.size(); ++d) {
-            all.want(d, std::max(0, 30 - int(all.gates[d].word().wanted)));
-            all.gates[d].onPace(ms < 1000 ? 10 : 25, time_point(milliseconds(1'000'000 + ms)));
+            all.want(d, std::max(0, 30 - int(all.gates[d].report().demand)));
+            all.gates[d].onEventInterval(ms < 1000 ? 10 : 25,
+                                         time_point(milliseconds(1'000'000 + ms)));
         }
         all.step(ms);
     }
@@ -109,11 +111,11 @@
 /// \returns after how many milliseconds of slow events the first daemon's bound has halved.
 int msUntilHalved(int count)
 {
-    daemons_with_lag all(count);
+    delayed_gossip_daemons all(count);
     int ms = 0;
     const auto play = [&](double pace) {
         for (std::size_t d = 0; d < all.gates.size(); ++d)
-            all.gates[d].onPace(pace, time_point(milliseconds(1'000'000 + ms)));
+            all.gates[d].onEventInterval(pace, time_point(milliseconds(1'000'000 + ms)));
         all.step(ms);
         ms += sweepMs;
     };
@@ -122,9 +124,9 @@
             all.want(d, 200 / count);
         play(10);
     }
-    const double before = all.gates[0].word().perReplica;
+    const double before = all.gates[0].report().limitPerReplica;
     const int began = ms;
-    while (all.gates[0].word().perReplica > before / 2 && ms < 60'000)
+    while (all.gates[0].report().limitPerReplica > before / 2 && ms < 60'000)
         play(100);
     return ms - began;
 }
@@ -140,7 +142,7 @@
             const int each = burst.second;
             CAPTURE(count);
             CAPTURE(each);
-            daemons_with_lag all(count);
+            delayed_gossip_daemons all(count);
             for (int ms = 0; ms < 1000; ms += sweepMs)
                 all.step(ms);
             for (std::size_t d = 0; d < all.gates.size(); ++d)
@@ -157,9 +159,9 @@
 
     TEST_CASE("a daemon that may use no replica holds back no other")
     {
-        const service_gate usual = otherGate(false);
-        const service_gate besideCutOff = otherGate(true);
-        CHECK(besideCutOff.word().perReplica > 0.9 * usual.word().perReplica);
+        const concurrency_limiter usual = otherLimiter(false);
+        const concurrency_limiter besideCutOff = otherLimiter(true);
+        CHECK(besideCutOff.report().limitPerReplica > 0.9 * usual.report().limitPerReplica);
         CHECK(besideCutOff.limit() > 0.9 * usual.limit());
     }
 
@@ -176,17 +178,17 @@
         // The second one tells no finish of its program, so it comes after all that tell one.
         for (const auto &[rank, slack] :
              {std::pair{2, duration(seconds(1))}, {1, duration::max()}}) {
-            service_gate gate;
-            gate.setEngines({1, 8});
+            concurrency_limiter gate;
+            gate.setEngineCapacity({1, 8});
             std::uint64_t number = 1;
-            while (gate.enter({++number, 1, program_hope::OnTime, seconds(1)})) { }
+            while (gate.tryAdmit({++number, 1, deadline_feasibility::OnTime, seconds(1)})) { }
             const std::uint64_t passed = ++number;
-            CHECK_FALSE(gate.enter({passed, rank, program_hope::OnTime, slack}));
+            CHECK_FALSE(gate.tryAdmit({passed, rank, deadline_feasibility::OnTime, slack}));
             bool isGranted = false;
             for (int i = 0; i < 1000; ++i) {
-                gate.enter({++number, 1, program_hope::OnTime, seconds(1)});
-                gate.leave();
-                for (const std::uint64_t granted : gate.take())
+                gate.tryAdmit({++number, 1, deadline_feasibility::OnTime, seconds(1)});
+                gate.release();
+                for (const std::uint64_t granted : gate.admitQueued())
                     isGranted = isGranted || granted == passed;
             }
             CHECK(isGranted);
@@ -198,21 +200,21 @@
         // The later tries of a turn wait for 128, 63 and 13 ms, in which a daemon with 24 places
         // grants four, two and none. Each try begins to count anew.
         constexpr int placesDuringTry = 6;
-        service_gate gate;
-        gate.setEngines({1, 8});
+        concurrency_limiter gate;
+        gate.setEngineCapacity({1, 8});
         std::uint64_t number = 1;
-        while (gate.enter({++number, 1, program_hope::OnTime, seconds(1)})) { }
+        while (gate.tryAdmit({++number, 1, deadline_feasibility::OnTime, seconds(1)})) { }
         int granted = 0;
         for (int i = 0; i < 50; ++i) {
             const std::uint64_t late = ++number;
-            gate.enter({late, 1, program_hope::Late, seconds(-1)});
+            gate.tryAdmit({late, 1, deadline_feasibility::Late, seconds(-1)});
             for (int k = 0; k < placesDuringTry; ++k) {
-                gate.enter({++number, 1, program_hope::OnTime, seconds(1)});
-                gate.leave();
-                for (const std::uint64_t one : gate.take())
+                gate.tryAdmit({++number, 1, deadline_feasibility::OnTime, seconds(1)});
+                gate.release();
+                for (const std::uint64_t one : gate.admitQueued())
                     granted += one == late ? 1 : 0;
             }
-            gate.withdraw(late);
+            gate.cancelWait(late);
         }
         CHECK(granted > 0);
     }
--- a/test/logic/engine_model.h
+++ b/test/logic/engine_model.h
@@ -23,7 +23,7 @@
 };
 
 /// \brief What a modelled engine tells of a request.
-struct engine_news
+struct engine_event
 {
     std::uint64_t number = 0;
     bool isFirstToken = false;
@@ -36,7 +36,7 @@
 class engine_model
 {
 public:
-    struct engine_figures
+    struct engine_parameters
     {
         std::size_t slots = 16;
         double stepMs = 3.17;
@@ -45,23 +45,23 @@
         std::int64_t memoryTokens = 123'284;
     };
 
-    explicit engine_model(const engine_figures &figures) : m_figures(figures) { }
+    explicit engine_model(const engine_parameters &figures) : m_figures(figures) { }
 
     void add(const engine_request &request) { m_waiting.push_back({request, 0, 0, false}); }
 
     /// \brief Lets a millisecond pass. \returns the first tokens and the ends in it.
-    std::vector<engine_news> passMillisecond()
+    std::vector<engine_event> advanceMillisecond()
     {
-        std::vector<engine_news> news;
-        m_leftOfStep -= 1;
-        while (m_leftOfStep <= 0) {
+        std::vector<engine_event> news;
+        m_msLeftInStep -= 1;
+        while (m_msLeftInStep <= 0) {
             finishStep(news);
             admit();
             if (m_running.empty()) {
-                m_leftOfStep = 0;
+                m_msLeftInStep = 0;
                 break;
             }
-            m_leftOfStep += beginStep();
+            m_msLeftInStep += beginStep();
         }
         return news;
     }
@@ -75,7 +75,7 @@
     {
         engine_request request;
         double unread = 0;
-        std::int64_t made = 0;
+        std::int64_t outputTokensMade = 0;
         bool hasBegun = false;
     };
     struct cached_part
@@ -86,7 +86,8 @@
 
     static std::int64_t tokensOf(const running_request &r)
     {
-        return r.request.sharedTokens + r.request.historyTokens + r.request.newTokens + r.made;
+        return r.request.sharedTokens + r.request.historyTokens + r.request.newTokens
+            + r.outputTokensMade;
     }
     std::int64_t cachedOf(const std::string &name) const
     {
@@ -122,24 +123,25 @@
         }
         return m_figures.stepMs + read / m_figures.readTokensPerMs;
     }
-    void finishStep(std::vector<engine_news> &news)
+    void finishStep(std::vector<engine_event> &news)
     {
         for (running_request &r : m_running) {
             if (r.unread > 0)
                 continue;
-            ++r.made;
+            ++r.outputTokensMade;
             if (!r.hasBegun)
                 news.push_back({r.request.number, true, false});
             r.hasBegun = true;
-            if (r.made < r.request.outputTokens)
+            if (r.outputTokensMade < r.request.outputTokens)
                 continue;
             news.push_back({r.request.number, false, true});
-            keep(r);
+            cacheRequest(r);
         }
-        std::erase_if(m_running,
-                      [](const running_request &r) { return r.made >= r.request.outputTokens; });
+        std::erase_if(m_running, [](const running_request &r) {
+            return r.outputTokensMade >= r.request.outputTokens;
+        });
     }
-    void keep(const running_request &r)
+    void cacheRequest(const running_request &r)
     {
         m_cache[r.request.shared] = {r.request.sharedTokens, ++m_clock};
         m_cache[r.request.session] = {tokensOf(r) - r.request.sharedTokens, ++m_clock};
@@ -157,12 +159,12 @@
         }
     }
 
-    engine_figures m_figures;
+    engine_parameters m_figures;
     std::deque<running_request> m_waiting;
     std::vector<running_request> m_running;
     std::map<std::string, cached_part> m_cache;
     std::int64_t m_clock = 0;
-    double m_leftOfStep = 0;
+    double m_msLeftInStep = 0;
 };
 
 } // namespace azurehill::test
