--- a/src/replicas/concurrency_limiter.cpp
+++ b/src/replicas/concurrency_limiter.cpp
@@ -6,66 +6,67 @@
 
 namespace {
 
-/// Requests of all daemons at one replica that the bound starts from at the most. Engines that slow
-/// down with each request bear fewer, which their pace shows within a second; those that don't
-/// would keep half of a burst waiting if the bound had to grow from a few.
+/// Upper bound of the initial limit for one replica, over all daemons. Engines that slow down with
+/// each request sustain fewer, which their event intervals show within a second; at engines that
+/// don't, half of a burst would be queued while the limit grows from a few requests.
 constexpr double initialLimitPerReplica = 16;
-/// Requests at one replica that the bound never goes below, and the same as a share of its slots.
-/// So few don't slow an engine down: if events come slowly all the same, holding more requests back
-/// only leaves it idle. With the first alone, the bound at replicas of 96 slots was still falling
-/// four seconds after slow ones had recovered, to 3.9 requests at each (log of a recovery).
+/// Lower bound of the limit for one replica, in requests and as a fraction of its slots. So few
+/// requests don't slow an engine down: if events are slow nevertheless, holding back more requests
+/// only leaves it idle. With the first bound alone, the limit at replicas of 96 slots was still
+/// falling four seconds after slow replicas had recovered, to 3.9 requests at each.
 constexpr double minRequestsPerReplica = 3;
 constexpr double minSlotFraction = 1.0 / 12;
-/// The bound never goes above this many times the slots: what does not fit waits in the engine,
-/// where nothing puts it in order. Above one, since clients spread unevenly over the daemons.
+/// Upper bound of the limit as a multiple of the slots: the excess is queued in the engine, which
+/// knows no priorities. It is above one since clients are spread unevenly over the daemons.
 constexpr double maxRequestsPerSlot = 1.25;
-/// Where the bound does not go by slots, what it starts from and ends at, a replica.
+/// Initial value and upper bound of the limit for one replica while mechanism::FillSlots is off.
 constexpr double initialPlainLimitPerReplica = 6;
 constexpr double maxPlainLimitPerReplica = 64;
-/// Events may come this many times slower than from an idle engine. Programs are meant to end
-/// within two to three times their time on idle replicas, a part of which is spent in tools.
+/// Target for inflation(). Programs are to end within two to three times their duration on idle
+/// replicas, a part of which is spent in tools.
 constexpr double targetInflation = 3;
-/// The bound moves once in this time, about that of one answer.
+/// Minimum time between adjustments of the limit, about that of one answer.
 constexpr duration adjustInterval = milliseconds(250);
-constexpr double lowerBy = 0.94;
-constexpr double raiseBy = 1.1;
-/// The same while events come nearly as fast as from an idle engine.
+constexpr double decreaseFactor = 0.94;
+constexpr double increaseFactor = 1.1;
+/// Increase while events come nearly as fast as from an idle engine.
 constexpr double fastIncreaseFactor = 1.3;
 constexpr double nearlyIdleInflation = 1.5;
 constexpr double eventIntervalWeight = 0.1;
-/// The idle pace forgets its lowest sample slowly, in case engines really got slower.
+/// Rate at which the idle interval rises from its minimum towards the current interval, in case
+/// the engines have become slower for good.
 constexpr double idleIntervalDecay = 0.0005;
 constexpr int minSamples = 20;
-/// A request that so many others have passed gets one of the next places. By the order alone it
-/// waits behind all others for as long as more come than there are places: nine tries of one
-/// program's turns were refused after a restart of all daemons, and a request of a worse
-/// rank got none of a thousand places.
+/// A request that has been passed over by this many admissions is soon admitted out of order. By
+/// the order of the queue alone, it would wait while more requests arrive than are admitted: nine
+/// tries of one program's turns were refused after a restart of all daemons, and a request of a
+/// worse rank was not among a thousand admissions.
 constexpr std::uint64_t admissionsBeforePriority = 8;
-/// One place in so many goes to such requests, by turns to late or lost programs and to any: it
-/// bounds what the programs that the order puts first give up for them.
+/// At most one in so many admissions is made out of order, alternating between late or lost
+/// programs and any. This limits what programs at the head of the queue lose to them.
 constexpr std::uint64_t priorityAdmissionInterval = 4;
-/// Rounds after which a daemon's word has reached the others and is taken in there.
+/// Gossip rounds until a daemon's report has reached the others and is merged there.
 constexpr std::size_t reportDelayRounds = 3;
-/// Part of the way to the agreed bound that a bound goes in a round. Words are old by some rounds:
-/// going all the way undid what was learned since, and bounds took 10.5 s to halve at slow engines
-/// in place of 3 s (replay of 11 daemons).
+/// Fraction of the distance to the merged limit that a limit moves per gossip round. Reports are
+/// some rounds old: moving all the way undid what had been learned since, and limits took 10.5 s
+/// instead of 3 s to halve at slow engines (replay of 11 daemons).
 constexpr double mergeWeight = 0.05;
 
 } // namespace
 
 double concurrency_limiter::initialLimit() const
 {
-    const bool fills = m_mechanisms.has(mechanism::FillSlots);
-    return (fills ? std::min(initialLimitPerReplica, slotsPerReplica())
-                  : initialPlainLimitPerReplica)
+    const bool fillsSlots = m_mechanisms.has(mechanism::FillSlots);
+    return (fillsSlots ? std::min(initialLimitPerReplica, slotsPerReplica())
+                       : initialPlainLimitPerReplica)
         * replicaShare();
 }
 
 double concurrency_limiter::maxLimit() const
 {
-    const bool fills = m_mechanisms.has(mechanism::FillSlots);
-    return (fills ? std::max(minLimitPerReplica(), maxRequestsPerSlot * slotsPerReplica())
-                  : maxPlainLimitPerReplica)
+    const bool fillsSlots = m_mechanisms.has(mechanism::FillSlots);
+    return (fillsSlots ? std::max(minLimitPerReplica(), maxRequestsPerSlot * slotsPerReplica())
+                       : maxPlainLimitPerReplica)
         * replicaShare();
 }
 
@@ -81,7 +82,7 @@
 
 void concurrency_limiter::rescale(double replicasBefore)
 {
-    // Before a pace has moved the bound, it is what the replicas that are known by now bear.
+    // Until event intervals adjust the limit, it follows the number of known replicas.
     m_limit = m_isLimitLearned ? m_limit * replicaShare() / replicasBefore : initialLimit();
 }
 
@@ -92,10 +93,10 @@
     rescale(before);
 }
 
-void concurrency_limiter::setLimitShare(double part)
+void concurrency_limiter::setLimitShare(double share)
 {
     const double before = replicaShare();
-    m_limitShare = part;
+    m_limitShare = share;
     rescale(before);
 }
 
@@ -106,16 +107,17 @@
 
 concurrency_report concurrency_limiter::report() const
 {
-    concurrency_report word;
-    word.inFlight = m_inFlightRequests;
-    word.demand = m_inFlightRequests;
-    // Without a replica the daemon can use no place, and what it has learned is not of these.
+    concurrency_report result;
+    result.inFlight = m_inFlightRequests;
+    result.demand = m_inFlightRequests;
+    // Without a replica the daemon can use no share of the limit, and its limit says nothing about
+    // the present replicas.
     if (m_engines.replicas <= 0)
-        return word;
-    word.demand += request_demand(m_queue.size());
-    word.inflation = hasEnoughSamples() ? inflation() : 0;
-    word.limitPerReplica = m_isLimitLearned ? m_limit / replicaShare() : 0;
-    return word;
+        return result;
+    result.demand += request_demand(m_queue.size());
+    result.inflation = hasEnoughSamples() ? inflation() : 0;
+    result.limitPerReplica = m_isLimitLearned ? m_limit / replicaShare() : 0;
+    return result;
 }
 
 concurrency_report concurrency_limiter::publishReport()
@@ -129,36 +131,36 @@
 void concurrency_limiter::mergeReports(const concurrency_report_sample &others)
 {
     m_receivedReports.assign(others.reports.begin(), others.reports.end());
-    const request_demand own
+    const request_demand ownDemand
         = m_publishedReports.empty() ? report().demand : m_publishedReports.front().demand;
-    setLimitShare(concurrencyShare(own, others, totalLimit()));
-    const double agreed = mergedLimitPerReplica(report(), others) * replicaShare();
-    if (agreed <= 0)
+    setLimitShare(concurrencyShare(ownDemand, others, totalLimit()));
+    const double mergedLimit = mergedLimitPerReplica(report(), others) * replicaShare();
+    if (mergedLimit <= 0)
         return;
-    m_limit += (m_isLimitLearned ? mergeWeight : 1) * (agreed - m_limit);
+    m_limit += (m_isLimitLearned ? mergeWeight : 1) * (mergedLimit - m_limit);
     m_limit = clampLimit(m_limit);
     m_isLimitLearned = true;
 }
 
-bool concurrency_limiter::tryAdmit(const admission_request &ticket)
+bool concurrency_limiter::tryAdmit(const admission_request &request)
 {
     if (m_queue.empty() && m_inFlightRequests < std::max(1.0, m_limit)) {
         ++m_inFlightRequests;
         return true;
     }
-    // What was begun goes before what begins: a first turn that is refused costs its caller little,
-    // a later one all that its program has done.
-    const queue_key o{ticket.feasibility == deadline_feasibility::Lost,
-                      ticket.rank,
-                      !ticket.continues,
-                      ticket.feasibility,
-                      ticket.slack,
-                      ticket.number};
-    m_queue.emplace(o, ticket.number);
-    m_queueKeys.emplace(ticket.number, o);
-    m_arrivals.emplace(ticket.number, m_admissions);
-    if (ticket.feasibility != deadline_feasibility::OnTime)
-        m_lateRequests.insert(ticket.number);
+    // Later turns precede first turns: refusing a first turn costs the caller little, refusing a
+    // later one wastes all work of its program so far.
+    const queue_key key{request.feasibility == deadline_feasibility::Lost,
+                        request.rank,
+                        !request.continues,
+                        request.feasibility,
+                        request.slack,
+                        request.number};
+    m_queue.emplace(key, request.number);
+    m_queueKeys.emplace(request.number, key);
+    m_arrivals.emplace(request.number, m_admissions);
+    if (request.feasibility != deadline_feasibility::OnTime)
+        m_lateRequests.insert(request.number);
     return false;
 }
 
@@ -184,11 +186,11 @@
     if (m_admissions % priorityAdmissionInterval != 0)
         return std::nullopt;
     const bool isForAny = m_admissions % (2 * priorityAdmissionInterval) == 0;
-    const auto &[oldest, grantedBefore] = *m_arrivals.begin();
-    if (isForAny && m_admissions - grantedBefore >= admissionsBeforePriority)
+    const auto &[oldest, admissionsOnArrival] = *m_arrivals.begin();
+    if (isForAny && m_admissions - admissionsOnArrival >= admissionsBeforePriority)
         return oldest;
-    // The tries of a late program's turn wait ever shorter, so what counts is how many places have
-    // passed such turns, not this try.
+    // Successive tries of a late program's turn wait for less and less time, so admissions are
+    // counted over all late requests, not for each try.
     if (isForAny || m_lateRequests.empty() || m_admissionsPastLate < admissionsBeforePriority)
         return std::nullopt;
     m_admissionsPastLate = 0;
@@ -205,14 +207,14 @@
 
 std::vector<std::uint64_t> concurrency_limiter::admitQueued()
 {
-    std::vector<std::uint64_t> granted;
+    std::vector<std::uint64_t> admitted;
     while (!m_queue.empty() && m_inFlightRequests < std::max(1.0, m_limit)) {
         const std::uint64_t number = nextToAdmit();
         cancelWait(number);
         ++m_inFlightRequests;
-        granted.push_back(number);
+        admitted.push_back(number);
     }
-    return granted;
+    return admitted;
 }
 
 double concurrency_limiter::inflation() const
@@ -233,18 +235,21 @@
     if (!hasEnoughSamples() || now < m_adjustedAt + adjustInterval)
         return;
     m_adjustedAt = now;
-    // Slow are engines that both this daemon and all together see slow: what one sees alone may be
-    // a few unlucky answers, and what all have told is old by some rounds when engines recover.
-    const double seen = std::min(inflation(), mergedInflation(report(), m_receivedReports));
-    const bool isSlow = seen > targetInflation;
-    // A bound that does not bind says nothing about how high it may go.
-    const bool binds = !m_queue.empty() || m_inFlightRequests + 1 >= m_limit;
-    const bool fills = m_mechanisms.has(mechanism::FillSlots);
-    m_isLimitLearned = m_isLimitLearned || isSlow || binds;
+    // Engines count as slow only if both this daemon's inflation and the merged one exceed the
+    // target: a few slow answers may raise the former alone, and the latter is some gossip rounds
+    // old when engines recover.
+    const double observedInflation
+        = std::min(inflation(), mergedInflation(report(), m_receivedReports));
+    const bool isSlow = observedInflation > targetInflation;
+    // Only a limit that is reached shows that it can be raised.
+    const bool isLimitReached = !m_queue.empty() || m_inFlightRequests + 1 >= m_limit;
+    const bool fillsSlots = m_mechanisms.has(mechanism::FillSlots);
+    m_isLimitLearned = m_isLimitLearned || isSlow || isLimitReached;
     if (isSlow)
-        m_limit *= lowerBy;
-    else if (binds)
-        m_limit *= fills && seen < nearlyIdleInflation ? fastIncreaseFactor : raiseBy;
+        m_limit *= decreaseFactor;
+    else if (isLimitReached)
+        m_limit *= fillsSlots && observedInflation < nearlyIdleInflation ? fastIncreaseFactor
+                                                                         : increaseFactor;
     m_limit = clampLimit(m_limit);
 }
 
--- a/src/replicas/concurrency_limiter.h
+++ b/src/replicas/concurrency_limiter.h
@@ -16,8 +16,15 @@
 
 namespace azurehill {
 
-/// \brief How much a request's program can still win.
-enum class deadline_feasibility { OnTime, Late, Lost };
+/// \brief Whether the program of a request can still finish in time.
+enum class deadline_feasibility {
+    /// The program can still finish by its target.
+    OnTime,
+    /// The target has passed, but the result is still of use.
+    Late,
+    /// So much time has passed that the result is of no use.
+    Lost
+};
 
 template <>
 struct enum_names<deadline_feasibility>
@@ -25,115 +32,118 @@
     static constexpr std::array<std::string_view, 3> names = {"on_time", "late", "lost"};
 };
 
-/// \brief A request that wants a place at a service's engines.
+/// \brief A request for admission to the engines of a service.
 struct admission_request
 {
     std::uint64_t number = 0;
     /// The route's rank, 0 first.
     int rank = 0;
     deadline_feasibility feasibility = deadline_feasibility::OnTime;
-    /// Time until its program should be finished.
+    /// Time left until the program's target finish time; negative when that has passed.
     duration slack = duration::zero();
-    /// Whether it goes on from an earlier turn.
+    /// Whether the request is a later turn of its program.
     bool continues = false;
 };
 
-/// \brief The engines that a gate stands before.
+/// \brief The replicas that a concurrency_limiter admits requests to.
 struct engine_capacity
 {
-    /// Replicas that may take requests.
+    /// Replicas that accept requests.
     int replicas = 0;
-    /// Requests that all of these together work on at once.
+    /// Sum of the slots of these replicas.
     int slots = 0;
 };
 
-/// \brief Bounds how many requests of this daemon the engines of a service work on at once, and
-/// lets those that wait go in the order in which most programs end in time.
+/// \brief Adaptive concurrency limiter with a priority queue, one per service and daemon.
 ///
-/// An engine takes far more requests at once than it can serve in time: each makes all others
-/// slower, until every program is late and none is refused. The bound follows the pace at which
-/// events come, so that engines are kept where programs still end in time. Those that wait go by
-/// rank; programs that can no longer win anything come last. No request is passed over without an
-/// end.
+/// An engine accepts far more requests than it can serve in time: each request slows down all
+/// others, until every program is late and no request has been refused. The limit therefore follows
+/// the interval between the events of the answers, so that the engines stay at a load at which
+/// programs still finish in time. Queued requests are admitted by rank, in the order in which most
+/// programs finish in time; those whose programs can gain nothing any more come last. Starvation is
+/// prevented: no request is passed over indefinitely.
 ///
-/// The engines are all daemons' together, so the bound, the pace and the demand of each are told to
-/// the others, and each takes its part.
+/// All daemons share the engines. They exchange their limits, event intervals and demands by
+/// gossip, and each daemon uses its share of the total limit.
 class concurrency_limiter
 {
 public:
     explicit concurrency_limiter(const mechanism_set &mechanisms = {})
         : m_mechanisms(mechanisms) { }
 
-    /// \brief Takes in the replicas that may take requests.
+    /// \brief Sets the replicas that accept requests and scales the limit with their number.
     void setEngineCapacity(const engine_capacity &engines);
-    /// \brief Takes in this daemon's part of them, above 0. hear() sets it; before that it is all.
-    void setLimitShare(double part);
+    /// \brief Sets this daemon's share of the engines, above 0. It is 1 until mergeReports() sets
+    /// it.
+    void setLimitShare(double share);
 
-    /// \returns what this daemon knows of its place at the engines now.
+    /// \returns the current state of this limiter, as the other daemons need it.
     concurrency_report report() const;
-    /// \returns what this daemon tells the others. Call it once for each round of words.
+    /// \returns the report to send to the other daemons, and remembers it. Call it once per gossip
+    /// round.
     concurrency_report publishReport();
-    /// \brief Takes in what the other daemons before the same engines told last. Call it once for
-    /// each round of words.
+    /// \brief Updates the limit and this daemon's share of it from the latest reports of the other
+    /// daemons that use the same engines. Call it once per gossip round.
     void mergeReports(const concurrency_report_sample &others);
 
-    /// \returns whether the request may go now. If not it waits until take() names it.
-    bool tryAdmit(const admission_request &ticket);
-    /// \brief The request gives up waiting. \returns whether it waited.
+    /// \returns whether the request is admitted at once. If not, it is queued until admitQueued()
+    /// returns its number.
+    bool tryAdmit(const admission_request &request);
+    /// \brief Removes a request from the queue. \returns whether it was queued.
     bool cancelWait(std::uint64_t number);
-    /// \brief A request that went is over.
+    /// \brief Releases the admission of a request that has ended.
     void release();
-    /// \returns the requests that may go now.
+    /// \brief Admits queued requests up to the limit. \returns their numbers.
     std::vector<std::uint64_t> admitQueued();
 
-    /// \brief An answer's events came \p msPerEvent apart.
+    /// \brief Adjusts the limit by the mean interval between the events of one answer.
     void onEventInterval(double msPerEvent, time_point now);
 
     std::size_t queued() const { return m_queue.size(); }
     int inFlight() const { return m_inFlightRequests; }
     double limit() const { return m_limit; }
-    /// \returns the requests of all daemons that the engines bear, as far as it is known here.
+    /// \returns this daemon's estimate of the limit for all daemons together.
     double totalLimit() const { return m_limit / m_limitShare; }
     const engine_capacity &engineCapacity() const { return m_engines; }
     double limitShare() const { return m_limitShare; }
-    /// \returns how many times slower events come than from an idle engine.
+    /// \returns the interval between events as a multiple of that of an idle engine.
     double inflation() const;
 
 private:
-    /// Sorts those that wait; the one that goes first comes first.
+    /// Sort key of the queue; the lowest key is admitted first.
     using queue_key = std::tuple<bool, int, bool, deadline_feasibility, duration, std::uint64_t>;
 
-    /// \returns the replicas that are this daemon's part.
+    /// \returns this daemon's share of the replicas, as a number of replicas.
     double replicaShare() const { return std::max(1, m_engines.replicas) * m_limitShare; }
     double slotsPerReplica() const
     {
         return double(std::max(1, m_engines.slots)) / std::max(1, m_engines.replicas);
     }
-    /// \brief Keeps the bound for a replica while the replicas or the part change.
+    /// \brief Keeps the limit per replica when the number of replicas or the share changes.
     void rescale(double replicasBefore);
     bool hasEnoughSamples() const;
-    /// \returns the number of the request that gets the next place.
+    /// \returns the number of the queued request to admit next.
     std::uint64_t nextToAdmit();
-    /// \returns the request that must not be passed over again, if there is one.
+    /// \returns the request that is admitted out of order to prevent its starvation, if any.
     std::optional<std::uint64_t> starvedRequest();
     double initialLimit() const;
     double maxLimit() const;
-    /// \returns requests of all daemons at one replica that the bound does not go below.
+    /// \returns the lower bound of the limit for one replica, over all daemons.
     double minLimitPerReplica() const;
-    /// \returns \p limit, or what of it the engines allow.
+    /// \returns \p limit clamped to the bounds that follow from replicas and slots.
     double clampLimit(double limit) const;
 
     mechanism_set m_mechanisms;
     engine_capacity m_engines;
     double m_limitShare = 1;
-    /// What this daemon told in the last rounds, oldest first.
+    /// This daemon's reports of the last gossip rounds, oldest first.
     std::deque<concurrency_report> m_publishedReports;
-    /// What those of the others that were heard told last.
+    /// The latest reports of other daemons.
     std::vector<concurrency_report> m_receivedReports;
     int m_inFlightRequests = 0;
     double m_limit = 0;
-    /// Whether the bound is more than where it starts: the pace of answers has moved it, or
-    /// another daemon told its own.
+    /// Whether the limit is more than its initial value: event intervals have adjusted it, or
+    /// another daemon has reported its own.
     bool m_isLimitLearned = false;
     double m_eventInterval = 0;
     double m_idleEventInterval = 0;
@@ -141,13 +151,13 @@
     time_point m_adjustedAt;
     std::map<queue_key, std::uint64_t> m_queue;
     std::map<std::uint64_t, queue_key> m_queueKeys;
-    /// Places that went to requests that had waited.
+    /// Number of queued requests admitted so far.
     std::uint64_t m_admissions = 0;
-    /// Those that wait in order of arrival, with \c m_admissions as it was when they came.
+    /// Queued requests in order of arrival, with the value of \c m_admissions on arrival.
     std::map<std::uint64_t, std::uint64_t> m_arrivals;
-    /// Of these, the ones whose programs are late or lost.
+    /// Queued requests whose programs are \c Late or \c Lost.
     std::set<std::uint64_t> m_lateRequests;
-    /// Places that were given while one of these waited, since one of them got its place so.
+    /// Admissions made while a late request was queued, since one was last admitted out of order.
     std::uint64_t m_admissionsPastLate = 0;
 };
 
--- a/src/replicas/first_byte_time_estimator.cpp
+++ b/src/replicas/first_byte_time_estimator.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-/// Weight of a new sample once there are enough: the last forty or so count.
+/// Weight of a new sample once there are enough of them: an effective window of about forty
+/// samples.
 constexpr double sampleWeight = 0.025;
-/// Until prompts of different lengths have been seen: an engine reads some ten to a hundred tokens
-/// in a millisecond.
+/// Estimate until prompts of different lengths have been observed: engines read about ten to a
+/// hundred tokens per millisecond.
 constexpr double initialMsPerToken = 0.03;
-/// Spread of lengths, in tokens squared, from which on the slope says something.
+/// Variance of prompt lengths, in tokens squared, from which on the slope is used.
 constexpr double minTokenVariance = 200.0 * 200.0;
 constexpr double minMsPerToken = 0.002;
 constexpr double maxMsPerToken = 0.5;
-/// A sample counts as no more than this many times what was expected: one replica that hangs must
-/// not spoil the estimate for all.
+/// Samples are clipped to this multiple of the expected time: one replica that hangs must not
+/// distort the estimate for all.
 constexpr double outlierFactor = 4;
 constexpr int minSamples = 10;
 
@@ -29,12 +30,12 @@
         ms = std::min(ms, outlierFactor * expectedMs(tokens) + 1);
     const double weight = std::max(sampleWeight, 1.0 / (1 + m_samples));
     m_deviation += weight * (std::abs(ms - expectedMs(tokens)) - m_deviation);
-    const double tokenStep = tokens - m_meanTokens;
-    const double msStep = ms - m_meanMs;
-    m_meanTokens += weight * tokenStep;
-    m_meanMs += weight * msStep;
-    m_tokenVariance = (1 - weight) * (m_tokenVariance + weight * tokenStep * tokenStep);
-    m_covariance = (1 - weight) * (m_covariance + weight * tokenStep * msStep);
+    const double tokenError = tokens - m_meanTokens;
+    const double msError = ms - m_meanMs;
+    m_meanTokens += weight * tokenError;
+    m_meanMs += weight * msError;
+    m_tokenVariance = (1 - weight) * (m_tokenVariance + weight * tokenError * tokenError);
+    m_covariance = (1 - weight) * (m_covariance + weight * tokenError * msError);
     ++m_samples;
 }
 
--- a/src/replicas/first_byte_time_estimator.h
+++ b/src/replicas/first_byte_time_estimator.h
@@ -4,22 +4,22 @@
 
 namespace azurehill {
 
-/// \brief Learns how long answers of a service take to begin: a part that is always there, and a
-/// part for each prompt token that has to be read. An exponentially weighted linear regression.
+/// \brief Estimates the time to the first byte of a service's answers by an exponentially weighted
+/// linear regression: a constant plus a time for each prompt token that is not cached.
 class first_byte_time_estimator
 {
 public:
-    /// \param tokens prompt tokens that the replica had to read.
-    /// \param ms milliseconds from the send to the first byte of the answer.
+    /// \param tokens prompt tokens that were not cached at the replica.
+    /// \param ms milliseconds from sending the request to the first byte of the answer.
     void add(double tokens, double ms);
 
-    /// \returns milliseconds for a prompt that is cached whole.
+    /// \returns the time for a prompt that is entirely cached, in milliseconds.
     double cachedPromptMs() const;
-    /// \returns milliseconds a prompt token.
+    /// \returns the time for each uncached prompt token, in milliseconds.
     double msPerToken() const;
-    /// \returns milliseconds expected for \p tokens.
+    /// \returns the expected time for \p tokens uncached prompt tokens, in milliseconds.
     double expectedMs(double tokens) const { return cachedPromptMs() + msPerToken() * tokens; }
-    /// \returns average distance between expected and seen, in milliseconds.
+    /// \returns the mean absolute deviation from the expected time, in milliseconds.
     double meanDeviationMs() const { return m_deviation; }
     int samples() const { return m_samples; }
 
--- a/src/replicas/place_division.h
+++ b/src/replicas/place_division.h
@@ -8,76 +8,79 @@
 
 namespace azurehill {
 
-/// \brief Requests of one daemon that are at the engines of a service or wait for a place there.
+/// \brief Number of requests of one daemon that are at the engines of a service or queued for them.
 using request_demand = double;
 
-/// \brief What a daemon tells the others of its place at the engines of one service.
+/// \brief Load report of one daemon's concurrency_limiter for one service, exchanged by gossip.
 struct concurrency_report
 {
-    /// Requests at the engines, and those that wait for a place there.
+    /// Requests at the engines and queued requests.
     request_demand demand = 0;
-    /// Of these, the ones at the engines.
+    /// Requests at the engines.
     request_demand inFlight = 0;
-    /// How many times slower events come than from an idle engine; 0 if it has seen too few.
+    /// Interval between events as a multiple of that of an idle engine; 0 with too few samples.
     double inflation = 0;
-    /// Requests of all daemons at one replica that it holds to be right; 0 if it does not know.
+    /// The daemon's limit for one replica, over all daemons; 0 if unknown.
     double limitPerReplica = 0;
 
     friend bool operator==(const concurrency_report &, const concurrency_report &) = default;
 };
 
-/// \brief The words of one daemon by service.
+/// \brief The reports of one daemon by service.
 using concurrency_reports = std::map<std::string, concurrency_report, std::less<>>;
 
-/// \brief What some or all of the other daemons told last.
+/// \brief The latest reports of some or all of the other daemons.
 struct concurrency_report_sample
 {
     concurrency_report_sample() = default;
-    /// \brief All others were heard.
+    /// \brief The sample contains a report of each other daemon.
     concurrency_report_sample(const std::vector<concurrency_report> &all)
         : reports(all), otherDaemons(all.size())
     { }
-    /// \brief \p words came of some of \p count others.
-    concurrency_report_sample(std::span<const concurrency_report> words, std::size_t count)
-        : reports(words), otherDaemons(std::max(count, words.size()))
+    /// \brief \p received contains reports of some of \p count other daemons.
+    concurrency_report_sample(std::span<const concurrency_report> received, std::size_t count)
+        : reports(received), otherDaemons(std::max(count, received.size()))
     { }
 
     std::span<const concurrency_report> reports;
-    /// Other daemons that live, heard ones included. The rest counts like the mean of those.
+    /// Number of other live daemons, including those without a report here. The latter count with
+    /// the mean demand of the reports.
     std::size_t otherDaemons = 0;
 };
 
-/// \brief Divides the places at a service's engines among the daemons before them.
+/// \brief Divides the total concurrency limit of a service among the daemons by their demand.
 ///
-/// Callers find a daemon by chance and stay with it; after a restart of all, most are at the few
-/// that were up first. Equal parts then refuse for seconds what the engines have room for: at 200
-/// programs, 90 of them at one of eleven daemons, 686 refusals for 2,100 turns, none with parts by
-/// demand (replay of 13 s).
+/// Callers connect to a random daemon and stay with it; after a restart of all daemons, most
+/// callers are at the few that were up first. Equal shares then cause refusals for seconds although
+/// the engines have capacity: with 200 programs, 90 of them at one of eleven daemons, 686 refusals
+/// for 2,100 turns, and none with shares by demand (replay of 13 s).
 ///
-/// A daemon gets what it wants and an even part of what nobody wants. Where all together want more
-/// than there is, all get the same part of what they want, so that a request's chance does not
-/// depend on its daemon.
-/// \param own the demand of this daemon, as old as the words of the others: with its demand of the
-/// moment each daemon would take for itself what seems free to all (1,100 requests for 288 places
-/// when eleven daemons got 100 each at one moment).
-/// \param others what the other daemons told last.
-/// \param places requests that the engines bear from all daemons; 0 if that is not known.
-/// \returns the part that is this daemon's, above 0 and at most 1.
-double concurrencyShare(request_demand own, const concurrency_report_sample &others, double places);
+/// A daemon gets its demand and an even share of the unused rest. If the total demand exceeds the
+/// limit, each daemon gets the same fraction of its demand, so that the admission of a request does
+/// not depend on its daemon.
+/// \param ownDemand the demand of this daemon, as old as the reports of the others. With its
+/// current demand, each daemon would claim what looks free to all of them (1,100 requests for a
+/// limit of 288 when eleven daemons got 100 each at once).
+/// \param others the latest reports of the other daemons.
+/// \param totalLimit the limit for all daemons together; 0 if unknown.
+/// \returns the share of this daemon, above 0 and at most 1.
+double concurrencyShare(request_demand ownDemand, const concurrency_report_sample &others,
+                        double totalLimit);
 
-/// \brief Puts together what daemons before the same replicas hold to be right.
+/// \brief Merges the limits per replica of all daemons that use the same replicas.
 ///
-/// Alone, a daemon that sees a few slow answers holds back its callers while others before the same
-/// replicas fill them: 3.9 and 21.7 requests a replica at one moment of a recovery, by the log.
-/// \param own what this daemon tells.
-/// \param others what the other daemons told last.
-/// \returns requests of all daemons at one replica, or 0 if none knows.
+/// Without merging, a daemon that sees a few slow answers holds back its callers while others fill
+/// the same replicas: limits of 3.9 and 21.7 requests per replica at one moment of a recovery.
+/// \param own the report of this daemon.
+/// \param others the latest reports of the other daemons.
+/// \returns the weighted mean of the limits for one replica, over all daemons, or 0 if none is
+/// known.
 double mergedLimitPerReplica(const concurrency_report &own,
                              const concurrency_report_sample &others);
 
-/// \brief Puts together how slow daemons before the same replicas see them.
-/// \returns how many times slower events come than from an idle engine, or 0 if none has seen
-/// enough; parameters as for mergedLimitPerReplica().
+/// \brief Merges the inflation that all daemons observe at the same replicas.
+/// \returns the weighted mean of the intervals between events as multiples of that of an idle
+/// engine, or 0 if no daemon has enough samples; parameters as for mergedLimitPerReplica().
 double mergedInflation(const concurrency_report &own, const concurrency_report_sample &others);
 
 } // namespace azurehill
--- a/src/replicas/prefix_cache.cpp
+++ b/src/replicas/prefix_cache.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Parts remembered before those that are gone are forgotten here as well.
+/// Number of entries above which those that the replica has evicted are removed.
 constexpr std::size_t maxParts = 2048;
 
 } // namespace
@@ -14,8 +14,8 @@
 std::int64_t prefix_cache::cachedTokensOf(const prompt_part &part, std::int64_t capacity) const
 {
     const auto found = m_parts.find(part.id);
-    const bool isKept = found != m_parts.end() && m_tokensRead - found->second.usedAt <= capacity;
-    return isKept ? std::min(part.tokens, found->second.tokens) : 0;
+    const bool isCached = found != m_parts.end() && m_tokensRead - found->second.usedAt <= capacity;
+    return isCached ? std::min(part.tokens, found->second.tokens) : 0;
 }
 
 std::int64_t prefix_cache::cachedPrefixTokens(const std::vector<prompt_part> &parts,
@@ -23,9 +23,9 @@
 {
     std::int64_t tokens = 0;
     for (const prompt_part &part : parts) {
-        const std::int64_t kept = cachedTokensOf(part, capacity);
-        tokens += kept;
-        if (kept < part.tokens)
+        const std::int64_t partTokens = cachedTokensOf(part, capacity);
+        tokens += partTokens;
+        if (partTokens < part.tokens)
             break;
     }
     return tokens;
--- a/src/replicas/prefix_cache.h
+++ b/src/replicas/prefix_cache.h
@@ -7,43 +7,45 @@
 
 namespace azurehill {
 
-/// \brief One part of a prompt. Replicas keep parts in their cache by id.
+/// \brief A consecutive part of a prompt. Replicas cache prompts by the ids of their parts.
 struct prompt_part
 {
     std::string id;
     std::int64_t tokens = 0;
 };
 
-/// \brief Which parts of prompts a replica probably still has.
+/// \brief LRU model of one replica's prefix cache: which prompt parts it probably still holds.
 ///
-/// A replica drops the parts that were not used for longest. This daemon knows what it sent itself;
-/// the others send about as much each, so the replica has taken in that many times more.
+/// A replica evicts the least recently used parts. This daemon knows only what it sent itself. The
+/// other daemons send about as much each, so the capacity that is passed in here is this daemon's
+/// share of the cache.
 class prefix_cache
 {
 public:
-    /// \returns tokens at the beginning of the prompt that the replica has.
-    /// \param capacity tokens that the replica keeps of what this daemon sends.
+    /// \returns the length in tokens of the prompt's cached prefix.
+    /// \param capacity tokens that the replica caches of this daemon's prompts.
     std::int64_t cachedPrefixTokens(const std::vector<prompt_part> &parts,
                                     std::int64_t capacity) const;
-    /// \brief The prompt goes to the replica.
+    /// \brief Records that the prompt is sent to the replica.
     void recordSend(const std::vector<prompt_part> &parts, std::int64_t capacity);
     void clear();
 
 private:
-    /// \brief A part as it was sent last.
+    /// \brief A prompt part as it was last sent.
     struct sent_part
     {
-        /// Its tokens: a session's part grows with each turn.
+        /// Length of the part; a session's part grows with each turn.
         std::int64_t tokens = 0;
-        /// Tokens taken in when it was last used.
+        /// Value of \c m_tokensRead when the part was last sent.
         std::int64_t usedAt = 0;
     };
 
-    /// \returns the tokens at the beginning of \p part that the replica has.
+    /// \returns the tokens at the beginning of \p part that the replica has cached.
     std::int64_t cachedTokensOf(const prompt_part &part, std::int64_t capacity) const;
 
-    /// By the part's id.
+    /// By part id.
     std::unordered_map<std::string, sent_part> m_parts;
+    /// Uncached tokens that the replica has read for this daemon so far.
     std::int64_t m_tokensRead = 0;
 };
 
--- a/src/replicas/replica_entry.h
+++ b/src/replicas/replica_entry.h
@@ -7,29 +7,29 @@
 
 namespace azurehill {
 
-/// \brief A replica as it registered itself in the store.
+/// \brief Registration of a replica in the store.
 struct replica_entry
 {
     replica_incarnation incarnation;
     std::string service;
     endpoint address;
     data_centre_id dataCentre;
-    /// Requests that it works on at once.
+    /// Requests that the replica processes concurrently.
     int slots = 1;
     bool draining = false;
-    /// Number of the entry; it grows with every renewal and begins anew with the incarnation.
+    /// Version of the entry. It grows with each renewal and restarts with each incarnation.
     std::uint64_t sequence = 0;
 };
 
-/// \brief Decides between two entries under one id.
+/// \brief Resolves which of two entries with the same id is current.
 ///
-/// A reader that lags, or a write of the old process that arrives after the new one's, shows an
-/// older entry after a newer one. Taking it in would send work to a process that is gone, or to one
-/// that drains: so an older incarnation, or an older entry of the same one, changes nothing, and an
-/// incarnation never comes back from draining.
-/// \param known the entry that holds so far.
-/// \param read the entry that was read now.
-/// \returns the entry that holds from now on.
+/// A lagging reader, or a write of the old process that arrives after one of the new process, may
+/// return an older entry after a newer one. Using it would send requests to a process that has
+/// ended or is draining. Therefore an older incarnation, or an older entry of the same one, is
+/// ignored, and an incarnation that drains never stops draining.
+/// \param known the current entry so far.
+/// \param read the entry just read.
+/// \returns the entry to use from now on.
 replica_entry latestEntry(const replica_entry &known, const replica_entry &read);
 
 } // namespace azurehill
--- a/src/replicas/replica_incarnation.h
+++ b/src/replicas/replica_incarnation.h
@@ -6,15 +6,15 @@
 
 namespace azurehill {
 
-/// \brief One process of a replica: the replica's id and when that process began.
+/// \brief Identifies one process of a replica by the replica's id and the start of the process.
 ///
-/// A replica may start again under the id that it had. The new process has read nothing, leaves
-/// nothing behind of the old one's state, and must not be judged by it.
+/// A replica may restart under the same id. The new process has an empty cache and shares no state
+/// with the old one, so observations of the old process don't apply to it.
 struct replica_incarnation
 {
     upstream_id id;
-    /// Milliseconds since 1970 by the replica's own clock; 0 when it was not told. It only orders
-    /// the starts under one id, so clocks that differ between hosts do no harm.
+    /// Milliseconds since 1970 by the replica's own clock; 0 if unknown. It only orders the starts
+    /// under one id, so clock skew between hosts does no harm.
     std::int64_t startedUnixMs = 0;
 
     friend auto operator<=>(const replica_incarnation &, const replica_incarnation &) = default;
--- a/src/replicas/replica_load_balancer.cpp
+++ b/src/replicas/replica_load_balancer.cpp
@@ -7,46 +7,50 @@
 
 namespace {
 
-/// What one more request of ours at a model replica costs, in prompt tokens that it could have read
-/// meanwhile. Each daemon sees its own requests only, and the others have about as many there. Too
-/// low a price, and a few replicas that have a prompt's beginning take all the work; too high, and
-/// prompts are read again elsewhere, which makes all slower.
+/// Cost of each of this daemon's outstanding requests at a model replica, in prompt tokens that it
+/// could have read instead. Each daemon knows its own requests only, and the others have about as
+/// many there. With too low a cost, the few replicas that have cached a prompt's prefix get all
+/// requests; with too high a cost, prompts are read again elsewhere, which slows down all replicas.
 constexpr double tokensPerOutstanding = 1000;
-/// The same for a plain replica, in parts of its typical time and for each of its slots.
+/// The same for a plain replica, as a multiple of its typical time and for each of its slots.
 constexpr double firstByteTimesPerOutstanding = 3;
-/// Part of the requests under way at a replica that a prompt's unread tokens are priced for once
-/// more: while the engine reads, all that it works on stands still. Without it a burst drives turns
-/// away from the replicas that have their history, which makes all slower, which drives away more:
-/// 27 in 100 turns left theirs at the height of a burst, 8 with it, and events came 1.4 times
-/// slower than idle in place of 2.3 times.
+/// Fraction of the outstanding requests at a replica for which the reading time of a prompt's
+/// uncached tokens is charged once more: while the engine reads a prompt, all its other requests
+/// stall. Without this cost, a burst drives turns away from the replicas that have cached their
+/// history, which slows down all replicas and drives away more turns: 27 in 100 turns moved at the
+/// height of a burst instead of 8, and events came 2.3 instead of 1.4 times slower than when idle.
 constexpr double prefillInterference = 0.5;
-/// Milliseconds charged for another data centre: the way there and back, and bytes that are priced.
+/// Cost of a replica in another data centre, in milliseconds: round trip and billed traffic.
 constexpr double otherDataCentreMs = 6;
-/// Costs are drawn this far apart, so that daemons that know the same don't all choose alike.
+/// Relative range of the random factor on costs, so that daemons with the same knowledge don't all
+/// choose the same replica.
 constexpr double costJitter = 0.1;
-/// A replica's cache also holds the prompts that it works on; this share of it is for earlier ones.
-constexpr double cacheShare = 0.7;
-/// Until the configuration says what a replica caches.
+/// Fraction of a replica's cache that is free for earlier prompts; the rest is used by the prompts
+/// in progress.
+constexpr double prefixCacheFraction = 0.7;
+/// Assumed cache size of a replica until the configuration sets it.
 constexpr std::int64_t defaultCacheTokens = 100'000;
-/// Uses of a part after which it counts as shared by many programs, and for how long.
+/// Number of uses after which a prompt part counts as shared by many programs, and the time after
+/// the last use for which it does.
 constexpr int minUsesForShared = 6;
 constexpr duration sharedPartTtl = seconds(10);
-/// A replica that has been listed this long has read the parts that many programs share.
+/// Time after a replica is first listed at which it has read the parts that many programs share.
 constexpr duration warmUpTime = seconds(3);
 constexpr std::size_t maxSharedParts = 4096;
-/// Answers after which the times of a service are known.
+/// Number of answers from which on the time estimate of a service is used.
 constexpr int minSamples = 20;
-/// All daemons together try a replica that fails requests this often; each try costs a request.
+/// Interval between the trial requests of all daemons together to a replica that fails requests;
+/// each trial costs a request.
 constexpr duration jointTrialInterval = milliseconds(500);
-/// What was seen of a replica is told for this long.
+/// Time for which an observation of a replica is reported.
 constexpr duration reportTtl = seconds(2);
-/// Where a larger part of a service's replicas fails requests, the requests are to blame.
+/// If more than one in this many replicas of a service fail requests, the requests are to blame.
 constexpr int failingReplicaDivisor = 3;
-/// Most that a replica counts as slower than its peers.
+/// Upper bound of the learned slowness of a replica relative to its service.
 constexpr double maxSlowness = 8;
 
-/// \returns the tokens of the prompt of \p request that the turns before it have probably sent. Its
-/// last part is the session's own, which grows with each turn.
+/// \returns an estimate of the prompt tokens of \p request that earlier turns have already sent.
+/// The last part is the session's own and grows with each turn.
 std::int64_t estimatedPreviousTokens(const placement_request &request)
 {
     const std::int64_t own = request.parts.empty() ? 0 : request.parts.back().tokens;
@@ -71,11 +75,11 @@
         const auto old = m_replicas.find(id);
         const bool isKnown = old != m_replicas.end();
         const replica_entry entry = isKnown ? latestEntry(old->second.entry, read) : read;
-        const bool isSame = isKnown && old->second.entry.incarnation == entry.incarnation;
-        if (isKnown && !isSame)
+        const bool isSameProcess = isKnown && old->second.entry.incarnation == entry.incarnation;
+        if (isKnown && !isSameProcess)
             ended.push_back(old->second.entry);
         replica_state state;
-        if (isSame) {
+        if (isSameProcess) {
             state = std::move(old->second);
         } else {
             state.health.onAnswer(now);
@@ -184,7 +188,7 @@
 std::int64_t replica_load_balancer::cacheTokensForDaemon(const service_state &service) const
 {
     const std::int64_t all = service.cacheTokens > 0 ? service.cacheTokens : defaultCacheTokens;
-    return static_cast<std::int64_t>(cacheShare * double(all) / m_daemons);
+    return static_cast<std::int64_t>(prefixCacheFraction * double(all) / m_daemons);
 }
 
 std::int64_t replica_load_balancer::cachedTokens(const replica_state &r,
@@ -196,7 +200,7 @@
         cached = std::max(cached, request.lastTokens);
     if (now - r.listedAt < warmUpTime || !m_mechanisms.has(mechanism::SharedParts))
         return cached;
-    // Other daemons sent the parts that many programs share.
+    // Other daemons have sent the parts that many programs share.
     std::int64_t shared = 0;
     for (const prompt_part &part : request.parts) {
         const auto found = service.shared.find(part.id);
@@ -243,17 +247,17 @@
     const double load = request.promptTokens > 0
         ? tokensPerOutstanding * service.firstByteTime.msPerToken() * r.outstanding
         : firstByteTimesPerOutstanding * base * r.outstanding / r.entry.slots;
-    // Beyond its slots a request waits for others to end.
+    // Requests beyond the number of slots are queued until others end.
     const int waiting = std::max(0, r.outstanding + 1 - r.entry.slots);
     const double queue = base * waiting;
     const bool isFar = r.entry.dataCentre != m_here;
     const double sum = service.firstByteTime.expectedMs(unread) + load + queue;
-    // While the engine reads a prompt, all that it works on stands still.
-    const double crowd = m_mechanisms.has(mechanism::CrowdedReads)
+    // While the engine reads a prompt, its other requests stall.
+    const double stalledRequests = m_mechanisms.has(mechanism::CrowdedReads)
         ? prefillInterference * outstandingPerReplica(service)
         : 0;
-    const double held = crowd * service.firstByteTime.msPerToken() * unread;
-    return r.slowness * (sum + held) * jitter(m_random) + (isFar ? otherDataCentreMs : 0);
+    const double stallMs = stalledRequests * service.firstByteTime.msPerToken() * unread;
+    return r.slowness * (sum + stallMs) * jitter(m_random) + (isFar ? otherDataCentreMs : 0);
 }
 
 void replica_load_balancer::recordPartUses(service_state &service,
@@ -279,7 +283,7 @@
     const service_state &service = m_services[request.service];
     const replica_state *const home = sessionHome(group->second, request, now);
     std::optional<placement> best;
-    std::optional<placement> bestDoubted;
+    std::optional<placement> bestEjected;
     int candidates = 0;
     for (const upstream_id &id : group->second) {
         const replica_state &r = m_replicas.at(id);
@@ -288,25 +292,28 @@
         std::int64_t cached = cachedTokens(r, request, service, now);
         if (&r == home)
             cached = std::max(cached, estimatedPreviousTokens(request));
-        double c = cost(r, request, cached, service);
-        // The session's next turn goes to its home, where it would have to be read once more.
+        double candidateCost = cost(r, request, cached, service);
+        // The next turn of the session goes to its home replica, which would have to read the
+        // prompt again.
         if (home && &r != home)
-            c += service.firstByteTime.msPerToken() * double(request.promptTokens - cached);
-        // The replica that handled an object lately is the one with the highest hash of both.
+            candidateCost
+                += service.firstByteTime.msPerToken() * double(request.promptTokens - cached);
+        // Rendezvous hashing: the replica with the highest hash of object and id is preferred.
         if (!request.affinityKey.empty() && r.outstanding < r.entry.slots)
-            c *= 1 - 0.5 * double(stableHash(request.affinityKey + id.value) % 1000) / 1000;
-        const placement p{r.entry, r.outstanding, cached, c, 0};
+            candidateCost
+                *= 1 - 0.5 * double(stableHash(request.affinityKey + id.value) % 1000) / 1000;
+        const placement p{r.entry, r.outstanding, cached, candidateCost, 0};
         if (!isAvailable(r, now)) {
-            if (!bestDoubted || c < bestDoubted->cost)
-                bestDoubted = p;
+            if (!bestEjected || candidateCost < bestEjected->cost)
+                bestEjected = p;
             continue;
         }
         ++candidates;
-        if (!best || c < best->cost)
+        if (!best || candidateCost < best->cost)
             best = p;
     }
-    // When all are doubted, the doubt is more likely wrong, or there is nothing to lose.
-    std::optional<placement> chosen = best ? best : bestDoubted;
+    // If all replicas are ejected, the ejections are probably wrong, or there is nothing to lose.
+    std::optional<placement> chosen = best ? best : bestEjected;
     if (chosen)
         chosen->candidates = candidates;
     return chosen;
@@ -354,71 +361,72 @@
         r->health.onAnswer(now);
 }
 
-void replica_load_balancer::onDone(const placement &p, send_outcome end, time_point now)
+void replica_load_balancer::onDone(const placement &p, send_outcome outcome, time_point now)
 {
     replica_state *const found = find(p.replica.incarnation);
     if (!found)
         return;
     replica_state &r = *found;
-    const bool wasDoubted = r.health.isEjected();
+    const bool wasEjected = r.health.isEjected();
     r.outstanding = std::max(0, r.outstanding - 1);
     service_state &service = m_services[r.entry.service];
     service.outstanding = std::max(0, service.outstanding - 1);
     const bool wasFailing = r.health.isFailing();
-    recordOutcome(r, end, now);
+    recordOutcome(r, outcome, now);
     if (r.health.isFailing() != wasFailing)
         updateFailsEverywhere(r.entry.service);
-    if (r.health.isEjected() == wasDoubted)
+    if (r.health.isEjected() == wasEjected)
         return;
-    logDecision(wasDoubted ? log_event::ReplicaTrusted : log_event::ReplicaDoubted,
+    logDecision(wasEjected ? log_event::ReplicaTrusted : log_event::ReplicaDoubted,
                 {{"replica", p.replica.incarnation.id.value},
-                 {"end", std::string(toName(end))},
+                 {"end", std::string(toName(outcome))},
                  {"silent_ms", toMilliseconds(now - r.health.lastReceivedAt())},
                  {"outstanding", std::int64_t(r.outstanding)}});
 }
 
 duration replica_load_balancer::trialDelay()
 {
-    // From 0 on, so that some daemon tries soon however many there are.
-    std::uniform_real_distribution<double> chance(0, 2);
+    // The range begins at 0, so that some daemon tries soon regardless of their number.
+    std::uniform_real_distribution<double> factor(0, 2);
     return std::chrono::duration_cast<duration>(jointTrialInterval
-                                                * (m_daemons * chance(m_random)));
+                                                * (m_daemons * factor(m_random)));
 }
 
 replica_reports replica_load_balancer::recentReports(time_point now) const
 {
-    replica_reports words;
+    replica_reports reports;
     for (const auto &[id, r] : m_replicas) {
-        if (words.size() >= maxReplicaReports)
+        if (reports.size() >= maxReplicaReports)
             break;
         const auto failedAt = r.health.failedAt();
         const auto recoveredAt = r.health.recoveredAt();
         if (failedAt && now - *failedAt < reportTtl)
-            words.emplace(id, replica_report::Failing);
+            reports.emplace(id, replica_report::Failing);
         else if (recoveredAt && now - *recoveredAt < reportTtl)
-            words.emplace(id, replica_report::Recovered);
+            reports.emplace(id, replica_report::Recovered);
     }
-    return words;
+    return reports;
 }
 
-void replica_load_balancer::mergeReports(const std::vector<replica_reports> &heard, time_point now)
+void replica_load_balancer::mergeReports(const std::vector<replica_reports> &received,
+                                         time_point now)
 {
     std::map<upstream_id, int> failing;
-    std::set<upstream_id> answering;
-    for (const replica_reports &words : heard) {
-        for (const auto &[id, word] : words) {
-            if (word == replica_report::Failing)
+    std::set<upstream_id> recovered;
+    for (const replica_reports &reports : received) {
+        for (const auto &[id, report] : reports) {
+            if (report == replica_report::Failing)
                 ++failing[id];
             else
-                answering.insert(id);
+                recovered.insert(id);
         }
     }
     for (const auto &[id, others] : failing) {
         const auto found = m_replicas.find(id);
-        if (found != m_replicas.end() && !answering.contains(id))
+        if (found != m_replicas.end() && !recovered.contains(id))
             found->second.health.onOthersReportFailing(others, now, trialDelay());
     }
-    for (const upstream_id &id : answering) {
+    for (const upstream_id &id : recovered) {
         const auto found = m_replicas.find(id);
         if (found != m_replicas.end() && !failing.contains(id))
             found->second.health.onOthersReportRecovered(now);
@@ -427,9 +435,9 @@
         updateFailsEverywhere(service);
 }
 
-void replica_load_balancer::recordOutcome(replica_state &r, send_outcome end, time_point now)
+void replica_load_balancer::recordOutcome(replica_state &r, send_outcome outcome, time_point now)
 {
-    switch (end) {
+    switch (outcome) {
     case send_outcome::Answered:
     case send_outcome::NotRun:
         r.health.onAnswer(now);
--- a/src/replicas/replica_load_balancer.h
+++ b/src/replicas/replica_load_balancer.h
@@ -18,39 +18,45 @@
 
 namespace azurehill {
 
-/// \brief What a request needs of a replica.
+/// \brief Input for the choice of a replica for one request.
 struct placement_request
 {
     std::string service;
-    /// The parts of the prompt in order; empty for plain services.
+    /// The prompt parts in order; empty for plain services.
     std::vector<prompt_part> parts;
-    /// The replica that answered the turn before, which has read all of the prompt but the last
-    /// part; or empty.
+    /// The replica that answered the previous turn and has read the prompt up to that turn; or
+    /// empty.
     replica_incarnation lastReplica;
-    /// Tokens of the prompt up to the turn before.
+    /// Prompt tokens up to the previous turn.
     std::int64_t lastTokens = 0;
-    /// The line of turns whose caller sends the whole prompt with each of them, or empty. Its turns
-    /// come to any daemon, and none of them knows where the one before went.
+    /// Id of a session whose caller sends the whole prompt with each turn, or empty. Its turns may
+    /// arrive at any daemon, and no daemon knows which replica answered the previous one.
     std::string session;
-    /// Turns that its program had before, as far as is known.
+    /// Number of earlier turns of the program, as far as this daemon knows.
     std::int64_t turnsBefore = 0;
     /// Tokens of the whole prompt.
     std::int64_t promptTokens = 0;
-    /// Replicas that the request was sent to already.
+    /// Replicas that the request has already been sent to.
     std::set<replica_incarnation> tried;
-    /// Key of the object that the request is about, where the route keeps to one replica; or empty.
+    /// Key of the object that the request refers to if its route prefers one replica per object; or
+    /// empty.
     std::string affinityKey;
 };
 
-/// \brief How a request ended at a replica.
+/// \brief Outcome of sending a request to a replica.
 enum class send_outcome {
     Answered,
     /// The replica answered with a failure of its own.
     Failed,
+    /// The replica did not run the request.
     NotRun,
+    /// The answer broke off.
     Broken,
+    /// The replica stopped responding.
     Silent,
+    /// No connection could be made.
     Unreachable,
+    /// The client left or the request ran out of time.
     Cancelled
 };
 
@@ -61,75 +67,83 @@
         = {"answered", "failed", "not_run", "broken", "silent", "unreachable", "cancelled"};
 };
 
-/// \brief Where a request goes, and why.
+/// \brief The choice of a replica for a request, with the figures behind it.
 struct placement
 {
     replica_entry replica;
-    /// Requests of this daemon that are under way there.
+    /// This daemon's outstanding requests at the replica.
     int outstanding = 0;
-    /// Prompt tokens that the replica is expected to have.
+    /// Prompt tokens that the replica is expected to have cached.
     std::int64_t cachedTokens = 0;
-    /// Expected time until the answer begins, in milliseconds.
+    /// Expected time to the first byte of the answer plus penalties, in milliseconds.
     double cost = 0;
+    /// Number of replicas considered that accept requests.
     int candidates = 0;
 };
 
-/// \brief The replicas of all services, this daemon's work on them, and the choice among them.
+/// \brief Cost-based load balancer over the replicas of all services, with prefix-cache awareness.
+///
+/// It keeps the state of each listed replica: this daemon's outstanding requests, health, speed and
+/// a model of its prefix cache.
 class replica_load_balancer
 {
 public:
     replica_load_balancer(data_centre_id here, std::uint64_t seed,
                           const mechanism_set &mechanisms = {});
 
-    /// \brief Takes in the entries that the store lists now. A replica that started again under its
-    /// id begins with nothing: what was learned of its old process does not hold for the new one.
-    /// \returns the entries whose process is over: they were replaced by a newer incarnation.
+    /// \brief Sets the entries that the store lists. A replica that has restarted under its id
+    /// begins with fresh state, since observations of the old process don't apply to the new one.
+    /// \returns the entries of processes that were replaced by a newer incarnation.
     std::vector<replica_entry> setReplicas(const std::vector<replica_entry> &listed,
                                            time_point now);
-    /// \brief Takes in how many daemons send work to the replicas: this one sees its own only.
+    /// \brief Sets the number of daemons that send requests to the replicas; this one knows only
+    /// its own requests.
     void setDaemons(int count) { m_daemons = std::max(1, count); }
-    /// \brief Takes in how many tokens a replica of \p service caches.
+    /// \brief Sets the cache size of a replica of \p service in tokens.
     void setCacheTokens(const std::string &service, std::int64_t tokens);
-    /// \brief The replica said itself that it is leaving, or another one has its address.
+    /// \brief The replica has announced that it is leaving, or another one has its address.
     void setLeaving(const replica_incarnation &who);
-    /// \returns whether \p who is listed, and so has not ended as far as is known here.
+    /// \returns whether \p who is listed, that is, not known to have ended.
     bool isListed(const replica_incarnation &who) const { return find(who) != nullptr; }
-    /// \returns whether another process than \p who is listed under its id.
+    /// \returns whether a different process is listed under the id of \p who.
     bool isReplaced(const replica_incarnation &who) const;
 
-    /// \returns the replica on which the request is expected to be answered first, or nothing when
-    /// none may take it.
+    /// \returns the replica with the lowest cost for the request. Ejected replicas are chosen only
+    /// if no other is left; nothing is returned if all are draining, leaving or tried.
     std::optional<placement> choose(const placement_request &request, time_point now);
 
-    /// \brief The request of \p p goes out.
+    /// \brief The request of \p p is sent.
     void onSent(const placement &p, const placement_request &request, time_point now);
-    /// \brief The first bytes of the answer came \p waited after the request went out.
+    /// \brief The first byte of the answer arrived \p waited after the request was sent.
     void onFirstByte(const placement &p, const placement_request &request, duration waited,
                      time_point now);
-    /// \brief Bytes of an answer came.
+    /// \brief Bytes of an answer arrived.
     void onBytesReceived(const replica_incarnation &who, time_point now);
-    /// \brief The request of \p p is over.
-    void onDone(const placement &p, send_outcome end, time_point now);
+    /// \brief The request of \p p has ended.
+    void onDone(const placement &p, send_outcome outcome, time_point now);
 
-    /// \returns what this daemon has seen lately of replicas that fail requests, or failed them.
+    /// \returns this daemon's recent observations of replicas that fail requests or have recovered,
+    /// for the other daemons.
     replica_reports recentReports(time_point now) const;
-    /// \brief Takes in what others told of replicas.
-    void mergeReports(const std::vector<replica_reports> &heard, time_point now);
+    /// \brief Updates the health of the replicas from the reports of other daemons.
+    void mergeReports(const std::vector<replica_reports> &received, time_point now);
 
-    /// \returns when the replica was last heard of on any connection.
+    /// \returns when bytes of the replica last arrived on any connection.
     time_point lastReceivedAt(const replica_incarnation &who) const;
-    /// \returns the time that answers of \p service typically take to begin, with their spread.
+    /// \returns the time to the first byte that answers of \p service rarely exceed: the estimate
+    /// for a cached prompt plus a multiple of the deviation. Nothing until there are enough
+    /// samples.
     std::optional<duration> typicalFirstByteTime(std::string_view service) const;
     std::size_t size() const { return m_replicas.size(); }
-    /// \returns the number of replicas that get no requests because some failed there.
+    /// \returns the number of ejected replicas.
     int ejectedReplicas() const;
-    /// \returns the number of replicas of \p service that may take requests.
+    /// \returns the number of replicas of \p service that accept requests.
     int availableReplicas(std::string_view service, time_point now) const;
-    /// \returns the requests that those replicas together work on at once.
+    /// \returns the sum of the slots of these replicas.
     int availableSlots(std::string_view service, time_point now) const;
 
 private:
-    /// \brief A part of prompts and how often it was sent lately.
+    /// \brief Recent uses of one prompt part.
     struct shared_part
     {
         int uses = 0;
@@ -141,7 +155,7 @@
         bool leaving = false;
         int outstanding = 0;
         replica_outlier_detector health;
-        /// Typical time to the first byte as a multiple of that of the service.
+        /// Typical time to the first byte as a multiple of the service's.
         double slowness = 1;
         prefix_cache cache;
         time_point listedAt;
@@ -149,34 +163,37 @@
     struct service_state
     {
         first_byte_time_estimator firstByteTime;
-        /// Prompt parts that many requests share, by the time of their last use.
+        /// Recently sent prompt parts by id.
         std::unordered_map<std::string, shared_part> shared;
-        /// This daemon's requests under way at its replicas, and the number of these.
+        /// This daemon's outstanding requests at the service's replicas, and their number.
         int outstanding = 0;
         int replicas = 0;
-        /// Whether so many of its replicas fail requests that the requests are to blame.
+        /// Whether so many replicas of the service fail requests that the requests are to blame.
         bool failsEverywhere = false;
-        /// Tokens that a replica's cache holds.
+        /// Cache size of a replica in tokens; 0 if not configured.
         std::int64_t cacheTokens = 0;
     };
 
-    /// \returns the state of \p who, or null when its process is not the one that is listed.
+    /// \returns the state of \p who, or null if a different process or none is listed under its id.
     const replica_state *find(const replica_incarnation &who) const;
     replica_state *find(const replica_incarnation &who);
     bool isAvailable(const replica_state &r, time_point now) const;
-    /// \brief Finds out anew whether \p service fails requests at too many replicas.
+    /// \brief Updates \c failsEverywhere of \p service.
     void updateFailsEverywhere(const std::string &service);
-    /// \returns the requests under way at a replica on average, if all daemons have as many.
+    /// \returns the estimated mean number of outstanding requests at a replica, assuming that all
+    /// daemons have as many as this one.
     double outstandingPerReplica(const service_state &service) const;
-    void recordOutcome(replica_state &r, send_outcome end, time_point now);
-    /// \returns the time until this daemon tries a replica again that fails requests.
+    void recordOutcome(replica_state &r, send_outcome outcome, time_point now);
+    /// \returns the random time until this daemon's next trial request to a failing replica.
     duration trialDelay();
+    /// \returns the tokens of a replica's cache that this daemon's prompts may occupy.
     std::int64_t cacheTokensForDaemon(const service_state &service) const;
     std::int64_t cachedTokens(const replica_state &r, const placement_request &request,
                               const service_state &service, time_point now) const;
     double cost(const replica_state &r, const placement_request &request, std::int64_t cached,
                 const service_state &service);
-    /// \returns the replica where all daemons look for the session of \p request first, or null.
+    /// \returns the preferred replica of the session of \p request, which all daemons choose alike
+    /// by rendezvous hashing, or null.
     const replica_state *sessionHome(const std::vector<upstream_id> &group,
                                      const placement_request &request, time_point now) const;
     void recordPartUses(service_state &service, const std::vector<prompt_part> &parts,
--- a/src/replicas/replica_outlier_detector.cpp
+++ b/src/replicas/replica_outlier_detector.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr int brokenUntilEjection = 4;
-/// Failures in a row, here or at several daemons, after which a replica is left out.
+/// Consecutive failures, at this daemon or summed over several, after which a replica is ejected.
 constexpr int failuresUntilEjection = 2;
-/// First time for which a replica is left out; doubled with every failed trial.
+/// Duration of the first ejection; doubled with each failed trial request.
 constexpr duration initialEjectionTime = milliseconds(500);
 constexpr duration maxEjectionTime = seconds(4);
-/// A trial that has not ended after this long does not keep the next one back.
+/// A trial request that takes longer than this no longer blocks the next one.
 constexpr duration trialTimeout = seconds(1);
 
 } // namespace
@@ -22,7 +22,7 @@
     m_brokenInRow = 0;
     m_ejections = 0;
     m_failedInRow = 0;
-    m_lastHeard = now;
+    m_lastReceivedAt = now;
     if (m_isFailing)
         m_recoveredAt = now;
     m_isFailing = false;
@@ -30,7 +30,7 @@
 
 void replica_outlier_detector::onFailed(time_point now, duration trialDelay)
 {
-    m_lastHeard = now;
+    m_lastReceivedAt = now;
     m_failedAt = now;
     m_recoveredAt.reset();
     if (++m_failedInRow >= failuresUntilEjection || m_isFailing)
@@ -40,7 +40,7 @@
 void replica_outlier_detector::onOthersReportFailing(int others, time_point now,
                                                      duration trialDelay)
 {
-    // One failure here beside one there is enough: good replicas fail few requests.
+    // One failure at this daemon and one at another suffice: healthy replicas fail few requests.
     if (!m_isFailing && others + m_failedInRow >= failuresUntilEjection)
         ejectAsFailing(now, trialDelay);
 }
@@ -93,7 +93,7 @@
 
 void replica_outlier_detector::eject(time_point now)
 {
-    // Requests that were under way together fail together: they count as one sign.
+    // Requests in flight at the same time fail together and count as one failure.
     if (m_ejections > 0 && now < m_ejectedUntil)
         return;
     const duration out = initialEjectionTime * (1 << std::min(m_ejections, 3));
--- a/src/replicas/replica_outlier_detector.h
+++ b/src/replicas/replica_outlier_detector.h
@@ -6,43 +6,45 @@
 
 namespace azurehill {
 
-/// \brief What requests have shown of a replica, and whether it should get more of them.
+/// \brief Outlier detector and circuit breaker of one replica: ejects it on consecutive failures
+/// and readmits it after a successful trial request.
 ///
-/// Failures that come now and then are no reason to leave a replica out: a few percent of lost
-/// answers cost less than its room. Several in a row, or a peer that can't be reached, are.
+/// Occasional failures don't eject a replica: a few percent of lost answers cost less than the loss
+/// of its capacity. Several in a row, or a replica that can't be reached, do.
 class replica_outlier_detector
 {
 public:
-    /// \brief The replica answered, well or with a refusal.
+    /// \brief The replica answered, with success or with a refusal.
     void onAnswer(time_point now);
-    /// \brief The replica answered a request with a failure of its own. Answers that come at once
-    /// make it look quick and idle, so that it would draw more and more requests.
-    /// \param trialDelay time until it may be tried again, if it is left out now.
+    /// \brief The replica answered a request with a failure of its own. Immediate failures make a
+    /// replica look fast and idle, so that it would attract more and more requests.
+    /// \param trialDelay time until the next trial request if this failure ejects the replica.
     void onFailed(time_point now, duration trialDelay);
-    /// \brief Other daemons told that it fails requests, \p others of them.
+    /// \brief \p others other daemons report that the replica fails requests.
     void onOthersReportFailing(int others, time_point now, duration trialDelay);
-    /// \brief Another daemon told that it answers again.
+    /// \brief Another daemon reports that the replica has recovered.
     void onOthersReportRecovered(time_point now);
-    /// \brief A request broke off or got no answer.
+    /// \brief An answer broke off or did not come.
     void onBroken(time_point now);
-    /// \brief No connection could be made, or the replica went silent: it is probably gone.
+    /// \brief The connection failed, or the replica stopped responding: it has probably ended.
     void onUnreachable(time_point now);
-    /// \brief A request is sent; while the replica is doubted, no other may follow.
+    /// \brief A request is sent. While the replica is ejected, this is the trial request, and no
+    /// other may be sent until it ends or times out.
     void onSent(time_point now);
 
-    /// \returns whether the replica may get a request.
+    /// \returns whether requests may be sent to the replica.
     bool isAvailable(time_point now) const;
-    /// \returns whether the replica has been left out and has not answered since.
+    /// \returns whether the replica has been ejected and has not answered since.
     bool isEjected() const { return m_ejections > 0; }
-    /// \returns whether the replica was left out since it fails requests, and has not answered
+    /// \returns whether the replica has been ejected for failing requests and has not answered
     /// since.
     bool isFailing() const { return m_isFailing; }
-    /// \returns when a request last failed there, if none was answered since.
+    /// \returns when a request last failed at the replica, if none has been answered since.
     std::optional<time_point> failedAt() const;
-    /// \returns when the replica last answered again after it had been left out for failures.
+    /// \returns when the replica last recovered from an ejection for failures.
     std::optional<time_point> recoveredAt() const { return m_recoveredAt; }
-    /// \returns when the replica was last heard of.
-    time_point lastReceivedAt() const { return m_lastHeard; }
+    /// \returns when the replica last answered.
+    time_point lastReceivedAt() const { return m_lastReceivedAt; }
 
 private:
     void eject(time_point now);
@@ -56,7 +58,7 @@
     std::optional<time_point> m_recoveredAt;
     time_point m_ejectedUntil;
     time_point m_trialAt;
-    time_point m_lastHeard;
+    time_point m_lastReceivedAt;
 };
 
 } // namespace azurehill
--- a/src/replicas/replica_reports.h
+++ b/src/replicas/replica_reports.h
@@ -6,11 +6,11 @@
 
 namespace azurehill {
 
-/// \brief What a daemon has seen of a replica itself.
+/// \brief Health of a replica as one daemon has observed it.
 enum class replica_report {
-    /// Requests fail there, and none has been answered since.
+    /// Requests fail at the replica, and none has succeeded since.
     Failing,
-    /// It failed requests, and answers them again.
+    /// The replica failed requests and has answered again since.
     Recovered,
 };
 
@@ -20,10 +20,10 @@
     static constexpr std::array<std::string_view, 2> names = {"fails", "answers"};
 };
 
-/// \brief What a daemon tells the others of replicas, by the replicas' ids.
+/// \brief The reports of one daemon by replica id, exchanged by gossip.
 using replica_reports = std::map<upstream_id, replica_report>;
 
-/// Most replicas of which one message tells.
+/// Maximum number of replica reports in one gossip message.
 constexpr std::size_t maxReplicaReports = 8;
 
 } // namespace azurehill
--- a/src/replicas/replicas.h
+++ b/src/replicas/replicas.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief The replicas as the store lists them, what requests show of them, and the choice of one.
+/// \brief Registered replicas, their observed health, concurrency limits and load balancing.
 
 #include "replicas/concurrency_limiter.h"
 #include "replicas/place_division.h"
--- a/test/logic/engine_model.h
+++ b/test/logic/engine_model.h
@@ -13,7 +13,8 @@
 struct engine_request
 {
     std::uint64_t number = 0;
-    /// The beginning that many programs share, and the session whose history follows it.
+    /// Id of the prompt prefix that many programs share, and of the session whose history follows
+    /// it.
     std::string shared;
     std::string session;
     std::int64_t sharedTokens = 0;
@@ -22,7 +23,7 @@
     std::int64_t outputTokens = 0;
 };
 
-/// \brief What a modelled engine tells of a request.
+/// \brief First token or end of a request at a modelled engine.
 struct engine_event
 {
     std::uint64_t number = 0;
@@ -30,9 +31,9 @@
     bool isEnd = false;
 };
 
-/// \brief A model engine: batches of a bounded size, one token a step for each request in it,
-/// prompts read between the steps, and a cache of histories in what the running requests leave of
-/// its memory.
+/// \brief Model of an inference engine with continuous batching: a bounded batch, one token per
+/// step for each request in it, chunked prefill between the steps, and an LRU prefix cache in the
+/// memory that the running requests leave free.
 class engine_model
 {
 public:
@@ -45,17 +46,17 @@
         std::int64_t memoryTokens = 123'284;
     };
 
-    explicit engine_model(const engine_parameters &figures) : m_figures(figures) { }
+    explicit engine_model(const engine_parameters &parameters) : m_parameters(parameters) { }
 
     void add(const engine_request &request) { m_waiting.push_back({request, 0, 0, false}); }
 
-    /// \brief Lets a millisecond pass. \returns the first tokens and the ends in it.
+    /// \brief Advances by a millisecond. \returns the first tokens and ends in that time.
     std::vector<engine_event> advanceMillisecond()
     {
-        std::vector<engine_event> news;
+        std::vector<engine_event> events;
         m_msLeftInStep -= 1;
         while (m_msLeftInStep <= 0) {
-            finishStep(news);
+            finishStep(events);
             admit();
             if (m_running.empty()) {
                 m_msLeftInStep = 0;
@@ -63,10 +64,10 @@
             }
             m_msLeftInStep += beginStep();
         }
-        return news;
+        return events;
     }
 
-    /// Prompt tokens read, and those of them that were new.
+    /// Prompt tokens read, and the new prompt tokens among them.
     std::int64_t readTokens = 0;
     std::int64_t newTokens = 0;
 
@@ -76,9 +77,9 @@
         engine_request request;
         double unread = 0;
         std::int64_t outputTokensMade = 0;
-        bool hasBegun = false;
+        bool hasFirstToken = false;
     };
-    struct cached_part
+    struct cached_prefix
     {
         std::int64_t tokens = 0;
         std::int64_t usedAt = 0;
@@ -96,7 +97,7 @@
     }
     void admit()
     {
-        while (!m_waiting.empty() && m_running.size() < m_figures.slots) {
+        while (!m_waiting.empty() && m_running.size() < m_parameters.slots) {
             running_request r = m_waiting.front();
             m_waiting.pop_front();
             const std::int64_t shared
@@ -113,28 +114,28 @@
     }
     double beginStep()
     {
-        double chunk = m_figures.chunkTokens;
+        double chunk = m_parameters.chunkTokens;
         double read = 0;
         for (running_request &r : m_running) {
-            const double part = std::min(chunk, r.unread);
-            r.unread -= part;
-            chunk -= part;
-            read += part;
+            const double tokens = std::min(chunk, r.unread);
+            r.unread -= tokens;
+            chunk -= tokens;
+            read += tokens;
         }
-        return m_figures.stepMs + read / m_figures.readTokensPerMs;
+        return m_parameters.stepMs + read / m_parameters.readTokensPerMs;
     }
-    void finishStep(std::vector<engine_event> &news)
+    void finishStep(std::vector<engine_event> &events)
     {
         for (running_request &r : m_running) {
             if (r.unread > 0)
                 continue;
             ++r.outputTokensMade;
-            if (!r.hasBegun)
-                news.push_back({r.request.number, true, false});
-            r.hasBegun = true;
+            if (!r.hasFirstToken)
+                events.push_back({r.request.number, true, false});
+            r.hasFirstToken = true;
             if (r.outputTokensMade < r.request.outputTokens)
                 continue;
-            news.push_back({r.request.number, false, true});
+            events.push_back({r.request.number, false, true});
             cacheRequest(r);
         }
         std::erase_if(m_running, [](const running_request &r) {
@@ -143,14 +144,14 @@
     }
     void cacheRequest(const running_request &r)
     {
-        m_cache[r.request.shared] = {r.request.sharedTokens, ++m_clock};
-        m_cache[r.request.session] = {tokensOf(r) - r.request.sharedTokens, ++m_clock};
+        m_cache[r.request.shared] = {r.request.sharedTokens, ++m_useCount};
+        m_cache[r.request.session] = {tokensOf(r) - r.request.sharedTokens, ++m_useCount};
         std::int64_t used = 0;
         for (const running_request &other : m_running)
             used += tokensOf(other);
-        for (const auto &[name, part] : m_cache)
-            used += part.tokens;
-        while (used > m_figures.memoryTokens && !m_cache.empty()) {
+        for (const auto &[name, prefix] : m_cache)
+            used += prefix.tokens;
+        while (used > m_parameters.memoryTokens && !m_cache.empty()) {
             const auto oldest = std::min_element(
                 m_cache.begin(), m_cache.end(),
                 [](const auto &a, const auto &b) { return a.second.usedAt < b.second.usedAt; });
@@ -159,11 +160,11 @@
         }
     }
 
-    engine_parameters m_figures;
+    engine_parameters m_parameters;
     std::deque<running_request> m_waiting;
     std::vector<running_request> m_running;
-    std::map<std::string, cached_part> m_cache;
-    std::int64_t m_clock = 0;
+    std::map<std::string, cached_prefix> m_cache;
+    std::int64_t m_useCount = 0;
     double m_msLeftInStep = 0;
 };
 
--- a/test/logic/failing_replicas_replay_test.cpp
+++ b/test/logic/failing_replicas_replay_test.cpp
@@ -1,5 +1,5 @@
-// Replays replicas that say they are well and fail every request within milliseconds, while daemons
-// that each see a few requests choose among all replicas.
+// Simulates replicas that report themselves healthy but fail every request within milliseconds, and
+// daemons that choose among all replicas while each observes only a few requests.
 #include "replicas/replicas.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 constexpr duration failureTime = milliseconds(4);
 constexpr duration answerTime = milliseconds(400);
 
-/// \brief Daemons before the engines of one service; some of these fail all that they get.
+/// \brief Daemons that use the replicas of one service, some of which fail every request.
 class failing_replicas_replay
 {
 public:
@@ -33,23 +33,24 @@
         }
     }
 
-    /// \brief Plays \p time with \p perSecond requests of all daemons.
+    /// \brief Simulates \p time with \p perSecond requests of all daemons together.
     void play(duration time, double perSecond, bool isFailing)
     {
         sent = 0;
         failed = 0;
         m_isFailing = isFailing;
         const time_point end = m_now + time;
-        double due = 0;
+        double dueRequests = 0;
         for (; m_now < end; m_now += step) {
             finish();
-            for (due += perSecond * std::chrono::duration<double>(step).count(); due >= 1; due -= 1)
+            for (dueRequests += perSecond * std::chrono::duration<double>(step).count();
+                 dueRequests >= 1; dueRequests -= 1)
                 send();
             if (m_now >= m_lastGossipAt + milliseconds(200))
                 gossip();
         }
     }
-    /// \returns the replicas that the first daemon may send to.
+    /// \returns the number of replicas that the first daemon may send requests to.
     int availableAtFirstDaemon() const
     {
         return m_balancers.front().availableReplicas("model", m_now);
@@ -62,9 +63,9 @@
 private:
     struct request
     {
-        std::size_t board = 0;
-        placement where;
-        placement_request wanted;
+        std::size_t balancer = 0;
+        placement chosen;
+        placement_request placementRequest;
         time_point doneAt;
         bool fails = false;
     };
@@ -77,52 +78,54 @@
 
     void send()
     {
-        const std::size_t board = m_random() % m_balancers.size();
-        placement_request wanted;
-        wanted.service = "model";
-        wanted.promptTokens = 3000;
-        wanted.parts = {{"shared", 2500}, {"own" + std::to_string(m_random()), 500}};
-        const auto where = m_balancers[board].choose(wanted, m_now);
-        if (!where)
+        const std::size_t balancer = m_random() % m_balancers.size();
+        placement_request placementRequest;
+        placementRequest.service = "model";
+        placementRequest.promptTokens = 3000;
+        placementRequest.parts = {{"shared", 2500}, {"own" + std::to_string(m_random()), 500}};
+        const auto chosen = m_balancers[balancer].choose(placementRequest, m_now);
+        if (!chosen)
             return;
-        m_balancers[board].onSent(*where, wanted, m_now);
-        const bool fails = failsAt(*where);
+        m_balancers[balancer].onSent(*chosen, placementRequest, m_now);
+        const bool fails = failsAt(*chosen);
         ++sent;
         failed += fails ? 1 : 0;
         m_sentToFailing += fails ? 1 : 0;
-        m_underWay.push_back(
-            {board, *where, wanted, m_now + (fails ? failureTime : answerTime), fails});
+        m_inFlight.push_back({balancer, *chosen, placementRequest,
+                              m_now + (fails ? failureTime : answerTime), fails});
     }
 
     void finish()
     {
-        std::erase_if(m_underWay, [this](const request &r) {
+        std::erase_if(m_inFlight, [this](const request &r) {
             if (r.doneAt > m_now)
                 return false;
-            replica_load_balancer &board = m_balancers[r.board];
+            replica_load_balancer &balancer = m_balancers[r.balancer];
             const bool isAnswer = !r.fails || m_failureIsAnswer;
             if (isAnswer)
-                board.onFirstByte(r.where, r.wanted, r.fails ? failureTime : answerTime / 4, m_now);
-            board.onDone(r.where, isAnswer ? send_outcome::Answered : send_outcome::Failed, m_now);
+                balancer.onFirstByte(r.chosen, r.placementRequest,
+                                     r.fails ? failureTime : answerTime / 4, m_now);
+            balancer.onDone(r.chosen, isAnswer ? send_outcome::Answered : send_outcome::Failed,
+                            m_now);
             return true;
         });
     }
 
-    /// \brief Each daemon hears a third of the others.
+    /// \brief Each daemon receives the reports of a random third of the daemons.
     void gossip()
     {
         m_lastGossipAt = m_now;
-        std::vector<replica_reports> told;
-        told.reserve(m_balancers.size());
-        for (const replica_load_balancer &board : m_balancers)
-            told.push_back(board.recentReports(m_now));
-        for (replica_load_balancer &board : m_balancers) {
-            std::vector<replica_reports> heard;
-            for (const replica_reports &words : told) {
-                if (!words.empty() && m_random() % 3 == 0)
-                    heard.push_back(words);
+        std::vector<replica_reports> reports;
+        reports.reserve(m_balancers.size());
+        for (const replica_load_balancer &balancer : m_balancers)
+            reports.push_back(balancer.recentReports(m_now));
+        for (replica_load_balancer &balancer : m_balancers) {
+            std::vector<replica_reports> received;
+            for (const replica_reports &daemonReports : reports) {
+                if (!daemonReports.empty() && m_random() % 3 == 0)
+                    received.push_back(daemonReports);
             }
-            board.mergeReports(heard, m_now);
+            balancer.mergeReports(received, m_now);
         }
     }
 
@@ -130,7 +133,7 @@
     bool m_failureIsAnswer;
     bool m_isFailing = false;
     std::deque<replica_load_balancer> m_balancers;
-    std::vector<request> m_underWay;
+    std::vector<request> m_inFlight;
     std::minstd_rand m_random{7};
     time_point m_now{seconds(1000)};
     time_point m_lastGossipAt;
@@ -139,7 +142,7 @@
 
 } // namespace
 
-// Guards against replicas that fail at once and so look idle and quick, and draw the load.
+// Guards against replicas that fail immediately, look idle and fast, and so attract the load.
 TEST_CASE("replicas that fail what they get are soon left out by all daemons")
 {
     for (const int daemons : {3, 30, 88, 300}) {
@@ -175,7 +178,7 @@
     CHECK(world.failed * 9 > world.sent);
 }
 
-// Guards against a bad route or program that puts out good replicas.
+// Guards against a faulty route or program that gets healthy replicas ejected.
 TEST_CASE("requests that fail everywhere put out no replicas")
 {
     failing_replicas_replay world(3, 20, 20, false);
--- a/test/logic/place_division_test.cpp
+++ b/test/logic/place_division_test.cpp
@@ -13,41 +13,41 @@
 
 namespace {
 
-/// \returns the parts of all daemons, each of which has heard all others.
-std::vector<double> partsOf(const std::vector<concurrency_report> &words, double places)
+/// \returns the limit shares of all daemons, each of which has the reports of all others.
+std::vector<double> sharesOf(const std::vector<concurrency_report> &reports, double totalLimit)
 {
-    std::vector<double> parts;
-    for (std::size_t d = 0; d < words.size(); ++d) {
-        std::vector<concurrency_report> others = words;
+    std::vector<double> shares;
+    for (std::size_t d = 0; d < reports.size(); ++d) {
+        std::vector<concurrency_report> others = reports;
         others.erase(others.begin() + std::ptrdiff_t(d));
-        parts.push_back(concurrencyShare(words[d].demand, others, places));
+        shares.push_back(concurrencyShare(reports[d].demand, others, totalLimit));
     }
-    return parts;
+    return shares;
 }
 
 constexpr double usualLimit = 288;
 
-/// \returns the parts of usualLimit, given what each daemon wants.
-std::vector<double> partsOf(const std::vector<double> &wanted)
+/// \returns the shares of usualLimit for the demand of each daemon.
+std::vector<double> sharesOf(const std::vector<double> &demands)
 {
-    std::vector<concurrency_report> words;
-    words.reserve(wanted.size());
-    for (const double w : wanted)
-        words.push_back({.demand = w});
-    return partsOf(words, usualLimit);
+    std::vector<concurrency_report> reports;
+    reports.reserve(demands.size());
+    for (const double demand : demands)
+        reports.push_back({.demand = demand});
+    return sharesOf(reports, usualLimit);
 }
 
-/// \returns a gate whose places are all taken.
+/// \returns a limiter that has reached its limit.
 concurrency_limiter fullLimiter()
 {
-    concurrency_limiter gate;
-    gate.setEngineCapacity({1, 1});
-    for (int i = 0;
-         gate.tryAdmit({std::uint64_t(10'000 + i), 1, deadline_feasibility::OnTime, seconds(1)});)
+    concurrency_limiter limiter;
+    limiter.setEngineCapacity({1, 1});
+    for (int i = 0; limiter.tryAdmit(
+             {std::uint64_t(10'000 + i), 1, deadline_feasibility::OnTime, seconds(1)});)
         ++i;
     for (std::uint64_t n = 10'000; n < 10'100; ++n)
-        gate.cancelWait(n);
-    return gate;
+        limiter.cancelWait(n);
+    return limiter;
 }
 
 } // namespace
@@ -58,36 +58,36 @@
     {
         CHECK(rc::check("any demands, any number of places", [] {
             const int daemons = *rc::gen::inRange(1, 100);
-            const double places = *rc::gen::inRange(0, 10'000);
-            std::vector<concurrency_report> words;
-            words.reserve(std::size_t(daemons));
+            const double totalLimit = *rc::gen::inRange(0, 10'000);
+            std::vector<concurrency_report> reports;
+            reports.reserve(std::size_t(daemons));
             for (int d = 0; d < daemons; ++d)
-                words.push_back({.demand = double(*rc::gen::inRange(0, 500))});
-            const std::vector<double> parts = partsOf(words, places);
-            const double sum = std::accumulate(parts.begin(), parts.end(), 0.0);
+                reports.push_back({.demand = double(*rc::gen::inRange(0, 500))});
+            const std::vector<double> shares = sharesOf(reports, totalLimit);
+            const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
             RC_ASSERT(sum > 0.999);
             RC_ASSERT(sum < 1.001);
-            for (const double part : parts)
-                RC_ASSERT(part > 0);
+            for (const double share : shares)
+                RC_ASSERT(share > 0);
         }));
     }
 
     TEST_CASE("while there are places for all, each daemon has those that it wants")
     {
-        const std::vector<double> parts = partsOf({{78}, {4}, {3}, {0}}, 200);
-        CHECK(parts[0] * 200 >= 78);
-        CHECK(parts[1] * 200 >= 4);
-        CHECK(parts[3] > 0);
+        const std::vector<double> shares = sharesOf({{78}, {4}, {3}, {0}}, 200);
+        CHECK(shares[0] * 200 >= 78);
+        CHECK(shares[1] * 200 >= 4);
+        CHECK(shares[3] > 0);
     }
 
     TEST_CASE("where places are short, a request's chance does not depend on its daemon")
     {
-        const std::vector<double> parts = partsOf({{45}, {15}, {15}}, 60);
-        CHECK(parts[0] / 45 == doctest::Approx(parts[1] / 15).epsilon(0.2));
+        const std::vector<double> shares = sharesOf({{45}, {15}, {15}}, 60);
+        CHECK(shares[0] / 45 == doctest::Approx(shares[1] / 15).epsilon(0.2));
 
         SUBCASE("and a daemon whose callers have only just come has some places")
         {
-            CHECK(partsOf({{45}, {30}, {0}}, 60).back() * 60 >= 1);
+            CHECK(sharesOf({{45}, {30}, {0}}, 60).back() * 60 >= 1);
         }
     }
 
@@ -114,51 +114,51 @@
         SUBCASE("never beyond what one of them holds to be right")
         {
             CHECK(rc::check("any words", [] {
-                std::vector<concurrency_report> words;
+                std::vector<concurrency_report> reports;
                 const int daemons = *rc::gen::inRange(2, 40);
-                words.reserve(std::size_t(daemons));
+                reports.reserve(std::size_t(daemons));
                 for (int d = 0; d < daemons; ++d) {
-                    words.push_back({.inFlight = double(*rc::gen::inRange(0, 500)),
-                                     .limitPerReplica = double(*rc::gen::inRange(1, 100))});
+                    reports.push_back({.inFlight = double(*rc::gen::inRange(0, 500)),
+                                       .limitPerReplica = double(*rc::gen::inRange(1, 100))});
                 }
-                const concurrency_report own = words.back();
-                words.pop_back();
-                const double agreed = mergedLimitPerReplica(own, words);
-                double least = own.limitPerReplica;
-                double most = own.limitPerReplica;
-                for (const concurrency_report &w : words) {
-                    least = std::min(least, w.limitPerReplica);
-                    most = std::max(most, w.limitPerReplica);
+                const concurrency_report own = reports.back();
+                reports.pop_back();
+                const double mergedLimit = mergedLimitPerReplica(own, reports);
+                double minLimit = own.limitPerReplica;
+                double maxLimit = own.limitPerReplica;
+                for (const concurrency_report &report : reports) {
+                    minLimit = std::min(minLimit, report.limitPerReplica);
+                    maxLimit = std::max(maxLimit, report.limitPerReplica);
                 }
-                RC_ASSERT(agreed > least - 1e-6);
-                RC_ASSERT(agreed < most + 1e-6);
+                RC_ASSERT(mergedLimit > minLimit - 1e-6);
+                RC_ASSERT(mergedLimit < maxLimit + 1e-6);
             }));
         }
     }
 
     TEST_CASE("parts of daemons that know the same make a whole")
     {
-        for (const auto &wanted : std::vector<std::vector<double>>{
+        for (const auto &demands : std::vector<std::vector<double>>{
                  {0}, {50}, {0, 0, 0}, {90, 10, 0}, {200, 200, 1}, std::vector<double>(90, 7)}) {
-            const std::vector<double> parts = partsOf(wanted);
-            CHECK(std::accumulate(parts.begin(), parts.end(), 0.0) == doctest::Approx(1));
+            const std::vector<double> shares = sharesOf(demands);
+            CHECK(std::accumulate(shares.begin(), shares.end(), 0.0) == doctest::Approx(1));
         }
     }
 
     TEST_CASE("while places suffice, each gets what it wants and an even part of the rest")
     {
-        const std::vector<double> parts = partsOf({90, 10, 0, 0});
-        CHECK(parts[0] * usualLimit == doctest::Approx(90 + 47));
-        CHECK(parts[1] * usualLimit == doctest::Approx(10 + 47));
-        CHECK(parts[2] * usualLimit == doctest::Approx(47));
+        const std::vector<double> shares = sharesOf({90, 10, 0, 0});
+        CHECK(shares[0] * usualLimit == doctest::Approx(90 + 47));
+        CHECK(shares[1] * usualLimit == doctest::Approx(10 + 47));
+        CHECK(shares[2] * usualLimit == doctest::Approx(47));
     }
 
     TEST_CASE("where places are short, nine tenths go by what is wanted and none is left without")
     {
-        const std::vector<double> parts = partsOf({900, 100, 0, 0});
-        CHECK(parts[0] == doctest::Approx(0.025 + 0.9 * 0.9));
-        CHECK(parts[1] == doctest::Approx(0.025 + 0.9 * 0.1));
-        CHECK(parts[2] == doctest::Approx(0.025));
+        const std::vector<double> shares = sharesOf({900, 100, 0, 0});
+        CHECK(shares[0] == doctest::Approx(0.025 + 0.9 * 0.9));
+        CHECK(shares[1] == doctest::Approx(0.025 + 0.9 * 0.1));
+        CHECK(shares[2] == doctest::Approx(0.025));
     }
 
     TEST_CASE("what is agreed goes by the requests behind each word, and by no word unlearned")
@@ -173,70 +173,73 @@
     TEST_CASE(
         "hundreds of daemons that hear some of each other's words divide the places all the same")
     {
-        // At 300 daemons a word of each would be older than a burst by the time that it came. Each
-        // hears 36 others by chance; a third of the daemons has three times the callers of the
-        // rest.
+        // With 300 daemons, the reports of all of them would arrive only after a burst has ended.
+        // Each daemon has the reports of 36 random others; a third of the daemons has three times
+        // the callers of the rest.
         constexpr std::size_t daemons = 300;
-        constexpr std::size_t heardOfEach = 36;
-        constexpr double places = 2000;
+        constexpr std::size_t reportsPerDaemon = 36;
+        constexpr double totalLimit = 2000;
         std::minstd_rand random(3);
-        std::vector<concurrency_report> words(daemons);
+        std::vector<concurrency_report> reports(daemons);
         for (std::size_t d = 0; d < daemons; ++d)
-            words[d].demand = d % 3 == 0 ? 15 : 5;
+            reports[d].demand = d % 3 == 0 ? 15 : 5;
         double sum = 0;
         for (std::size_t d = 0; d < daemons; ++d) {
-            std::vector<concurrency_report> others = words;
+            std::vector<concurrency_report> others = reports;
             others.erase(others.begin() + std::ptrdiff_t(d));
             std::shuffle(others.begin(), others.end(), random);
-            others.resize(heardOfEach);
-            const double part = concurrencyShare(words[d].demand, {others, daemons - 1}, places);
-            const double fair = words[d].demand / 2500;
-            CHECK(part > fair / 2);
-            CHECK(part < fair * 2);
-            sum += part;
+            others.resize(reportsPerDaemon);
+            const double share
+                = concurrencyShare(reports[d].demand, {others, daemons - 1}, totalLimit);
+            const double fairShare = reports[d].demand / 2500;
+            CHECK(share > fairShare / 2);
+            CHECK(share < fairShare * 2);
+            sum += share;
         }
         CHECK(sum > 0.9);
         CHECK(sum < 1.1);
 
         SUBCASE("and evenly where nobody was heard yet")
         {
-            CHECK(concurrencyShare(50, {std::span<const concurrency_report>(), 9}, places)
+            CHECK(concurrencyShare(50, {std::span<const concurrency_report>(), 9}, totalLimit)
                   == doctest::Approx(0.1));
         }
     }
 
     TEST_CASE("an agreed bound stays within what a daemon would learn itself")
     {
-        for (const auto &[told, bound] : {std::pair{0.1, 3.0}, {12.0, 12.0}, {9999.0, 20.0}}) {
-            concurrency_limiter gate;
-            gate.setEngineCapacity({18, 18 * 16});
-            const std::vector<concurrency_report> others = {{1e5, 1e5, 1, told}};
-            gate.mergeReports(others);
-            CHECK(gate.limit() == doctest::Approx(bound * 18 * gate.limitShare()).epsilon(0.01));
+        for (const auto &[reported, expected] :
+             {std::pair{0.1, 3.0}, {12.0, 12.0}, {9999.0, 20.0}}) {
+            concurrency_limiter limiter;
+            limiter.setEngineCapacity({18, 18 * 16});
+            const std::vector<concurrency_report> others = {{1e5, 1e5, 1, reported}};
+            limiter.mergeReports(others);
+            CHECK(limiter.limit()
+                  == doctest::Approx(expected * 18 * limiter.limitShare()).epsilon(0.01));
         }
     }
 
     TEST_CASE("a gate tells those that wait as well as those inside")
     {
-        concurrency_limiter gate = fullLimiter();
-        const int inside = gate.inFlight();
-        gate.tryAdmit({1, 1, deadline_feasibility::OnTime, seconds(1)});
-        gate.tryAdmit({2, 1, deadline_feasibility::Late, seconds(1)});
-        CHECK(gate.report().demand == inside + 2);
+        concurrency_limiter limiter = fullLimiter();
+        const int inFlight = limiter.inFlight();
+        limiter.tryAdmit({1, 1, deadline_feasibility::OnTime, seconds(1)});
+        limiter.tryAdmit({2, 1, deadline_feasibility::Late, seconds(1)});
+        CHECK(limiter.report().demand == inFlight + 2);
     }
 
     TEST_CASE("late programs' turns get one place in four at the most while others wait")
     {
-        concurrency_limiter gate = fullLimiter();
+        concurrency_limiter limiter = fullLimiter();
         std::uint64_t number = 0;
         for (int i = 0; i < 100; ++i)
-            gate.tryAdmit({++number, 1, deadline_feasibility::Late, seconds(1)});
+            limiter.tryAdmit({++number, 1, deadline_feasibility::Late, seconds(1)});
         const std::uint64_t lastLate = number;
         int late = 0;
         for (int i = 0; i < 100; ++i) {
-            gate.tryAdmit({++number, 1, deadline_feasibility::OnTime, seconds(1)});
-            gate.release();
-            for (const std::uint64_t granted : gate.admitQueued())
+            limiter.tryAdmit({++number, 1, deadline_feasibility::OnTime, seconds(1)});
+            limiter.release();
+            for (const std::uint64_t granted : limiter.admitQueued())
                 late += granted <= lastLate ? 1 : 0;
         }
         CHECK(late >= 20);
@@ -245,14 +248,14 @@
 
     TEST_CASE("a late program's turn that gave up waiting gets no place")
     {
-        concurrency_limiter gate = fullLimiter();
-        gate.tryAdmit({1, 1, deadline_feasibility::Late, seconds(1)});
+        concurrency_limiter limiter = fullLimiter();
+        limiter.tryAdmit({1, 1, deadline_feasibility::Late, seconds(1)});
         for (std::uint64_t n = 2; n < 40; ++n)
-            gate.tryAdmit({n, 1, deadline_feasibility::OnTime, seconds(1)});
-        CHECK(gate.cancelWait(1));
+            limiter.tryAdmit({n, 1, deadline_feasibility::OnTime, seconds(1)});
+        CHECK(limiter.cancelWait(1));
         for (int i = 0; i < 30; ++i) {
-            gate.release();
-            for (const std::uint64_t granted : gate.admitQueued())
+            limiter.release();
+            for (const std::uint64_t granted : limiter.admitQueued())
                 CHECK(granted != 1);
         }
     }
--- a/test/logic/placement_replay_test.cpp
+++ b/test/logic/placement_replay_test.cpp
@@ -17,18 +17,18 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-/// \brief Daemons that place the turns of programs on engines, each knowing its own work only. Time
-/// passes in steps of a millisecond.
+/// \brief Simulates daemons that place the turns of programs on engines, each knowing only its own
+/// requests. Time advances in steps of a millisecond.
 class placement_replay
 {
 public:
     static constexpr int daemons = 13;
     static constexpr int engines = 9;
 
-    /// \param callersHistory callers send the whole prompt, so that no daemon knows where a
-    /// program's turn before went.
-    explicit placement_replay(const mechanism_set &mechanisms, bool callersHistory = false)
-        : m_callersHistory(callersHistory)
+    /// \param callersSendHistory callers send the whole prompt with each turn, and no daemon knows
+    /// which replica answered the previous turn.
+    explicit placement_replay(const mechanism_set &mechanisms, bool callersSendHistory = false)
+        : m_callersSendHistory(callersSendHistory)
     {
         std::vector<replica_entry> listed;
         for (int i = 0; i < engines; ++i) {
@@ -44,29 +44,29 @@
         }
     }
 
-    /// \brief Plays \p seconds in which \p programsPerSecond begin each second.
+    /// \brief Simulates \p seconds with \p programsPerSecond program starts.
     void play(int seconds, double programsPerSecond)
     {
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
             ++m_now;
-            m_due += programsPerSecond / 1000;
-            for (; m_due >= 1; m_due -= 1)
+            m_dueStarts += programsPerSecond / 1000;
+            for (; m_dueStarts >= 1; m_dueStarts -= 1)
                 beginProgram();
             for (const std::size_t number : std::exchange(m_turnsAt[m_now], {}))
                 beginTurn(number);
             for (auto &[id, engine] : m_engines) {
-                for (const engine_event &news : engine.advanceMillisecond())
-                    take(news);
+                for (const engine_event &event : engine.advanceMillisecond())
+                    handleEvent(event);
             }
             if (m_now % 1000 == 0)
                 nextSecond();
         }
     }
 
-    /// Milliseconds a token between the first and the last of an answer, on average, by second.
-    std::vector<double> pace;
-    /// Prompt tokens that were read, for each that was new, by second.
-    std::vector<double> readPerNew;
+    /// Mean milliseconds per token between the first and the last token of an answer, by second.
+    std::vector<double> msPerToken;
+    /// Prompt tokens read per new prompt token, by second.
+    std::vector<double> readTokensPerNewToken;
 
 private:
     static constexpr int turnsOfProgram = 7;
@@ -81,8 +81,8 @@
         int turns = 0;
         std::int64_t history = 0;
         replica_incarnation last;
-        placement where;
-        placement_request asked;
+        placement chosen;
+        placement_request request;
         int sentAt = 0;
         int firstAt = 0;
     };
@@ -94,7 +94,7 @@
     }
     replica_load_balancer &balancerOf(std::size_t number)
     {
-        // Another daemon for each turn, as clients choose them by chance.
+        // Each turn goes to a different daemon, as clients choose daemons at random.
         const std::size_t turn = std::size_t(m_programs.at(number).turns);
         return m_balancers.at((7 * number + 5 * turn) % daemons);
     }
@@ -103,64 +103,66 @@
         program_state &p = m_programs.at(number);
         const std::string subject = "subject" + std::to_string(number % subjects);
         const std::string session = "session" + std::to_string(number);
-        p.asked = {};
-        p.asked.service = "model";
-        p.asked.parts = {{subject, sharedTokens}, {session, inputTokens}};
-        p.asked.promptTokens = sharedTokens + p.history + inputTokens;
-        if (m_callersHistory) {
-            // The session's part is all that was said in it.
-            p.asked.session = session;
-            p.asked.turnsBefore = p.turns;
-            p.asked.parts.back().tokens += p.history;
+        p.request = {};
+        p.request.service = "model";
+        p.request.parts = {{subject, sharedTokens}, {session, inputTokens}};
+        p.request.promptTokens = sharedTokens + p.history + inputTokens;
+        if (m_callersSendHistory) {
+            // The session's prompt part contains its whole history.
+            p.request.session = session;
+            p.request.turnsBefore = p.turns;
+            p.request.parts.back().tokens += p.history;
         } else {
-            p.asked.lastReplica = p.last;
-            p.asked.lastTokens = p.turns > 0 ? sharedTokens + p.history : 0;
+            p.request.lastReplica = p.last;
+            p.request.lastTokens = p.turns > 0 ? sharedTokens + p.history : 0;
         }
-        p.where = *balancerOf(number).choose(p.asked, at(m_now));
+        p.chosen = *balancerOf(number).choose(p.request, at(m_now));
         p.sentAt = m_now;
-        balancerOf(number).onSent(p.where, p.asked, at(m_now));
-        m_engines.at(p.where.replica.incarnation.id)
+        balancerOf(number).onSent(p.chosen, p.request, at(m_now));
+        m_engines.at(p.chosen.replica.incarnation.id)
             .add({number, subject, session, sharedTokens, p.history, inputTokens, outputTokens});
     }
-    void take(const engine_event &news)
+    void handleEvent(const engine_event &event)
     {
-        program_state &p = m_programs.at(news.number);
-        replica_load_balancer &board = balancerOf(news.number);
-        if (news.isFirstToken) {
+        program_state &p = m_programs.at(event.number);
+        replica_load_balancer &balancer = balancerOf(event.number);
+        if (event.isFirstToken) {
             p.firstAt = m_now;
-            board.onFirstByte(p.where, p.asked, milliseconds(m_now - p.sentAt), at(m_now));
+            balancer.onFirstByte(p.chosen, p.request, milliseconds(m_now - p.sentAt), at(m_now));
         }
-        if (!news.isEnd)
+        if (!event.isEnd)
             return;
-        board.onDone(p.where, send_outcome::Answered, at(m_now));
-        m_paces.push_back(double(m_now - p.firstAt) / (outputTokens - 1));
-        p.last = p.where.replica.incarnation;
+        balancer.onDone(p.chosen, send_outcome::Answered, at(m_now));
+        m_msPerTokenSamples.push_back(double(m_now - p.firstAt) / (outputTokens - 1));
+        p.last = p.chosen.replica.incarnation;
         p.history += inputTokens + outputTokens;
         if (++p.turns < turnsOfProgram)
-            m_turnsAt[m_now + pauseMs].push_back(news.number);
+            m_turnsAt[m_now + pauseMs].push_back(event.number);
     }
     void nextSecond()
     {
-        const double sum = std::accumulate(m_paces.begin(), m_paces.end(), 0.0);
-        pace.push_back(m_paces.empty() ? 0 : sum / double(m_paces.size()));
-        m_paces.clear();
+        const double msPerTokenSum
+            = std::accumulate(m_msPerTokenSamples.begin(), m_msPerTokenSamples.end(), 0.0);
+        msPerToken.push_back(
+            m_msPerTokenSamples.empty() ? 0 : msPerTokenSum / double(m_msPerTokenSamples.size()));
+        m_msPerTokenSamples.clear();
         std::int64_t read = 0;
-        std::int64_t fresh = 0;
+        std::int64_t newTokens = 0;
         for (auto &[id, engine] : m_engines) {
             read += std::exchange(engine.readTokens, 0);
-            fresh += std::exchange(engine.newTokens, 0);
+            newTokens += std::exchange(engine.newTokens, 0);
         }
-        readPerNew.push_back(fresh == 0 ? 0 : double(read) / double(fresh));
+        readTokensPerNewToken.push_back(newTokens == 0 ? 0 : double(read) / double(newTokens));
     }
 
-    bool m_callersHistory;
+    bool m_callersSendHistory;
     std::map<upstream_id, engine_model> m_engines;
     std::vector<replica_load_balancer> m_balancers;
     std::deque<program_state> m_programs;
     std::map<int, std::vector<std::size_t>> m_turnsAt;
-    std::vector<double> m_paces;
+    std::vector<double> m_msPerTokenSamples;
     int m_now = 0;
-    double m_due = 0;
+    double m_dueStarts = 0;
 };
 
 double mean(const std::vector<double> &values, std::size_t from, std::size_t to)
@@ -174,9 +176,9 @@
 
 TEST_SUITE("placement under load")
 {
-    // A burst of six seconds made every program late for twenty. Replicas had a little more to do,
-    // so turns went to others, which had to read the whole history; that made all replicas slower,
-    // and drove more turns away from theirs, long after the burst was over.
+    // Guards against a burst of six seconds that makes every program late for twenty. Slightly
+    // loaded replicas lose turns to others, which must read the whole history; this slows down all
+    // replicas and moves more turns away, long after the burst has ended.
     TEST_CASE("a burst does not drive turns away from the replicas that have their history")
     {
         const auto replay = [](const mechanism_set &mechanisms) {
@@ -188,18 +190,20 @@
         };
         mechanism_set without;
         without.switchOff(mechanism::CrowdedReads);
-        const placement_replay priced = replay({});
-        const placement_replay plain = replay(without);
-
-        // Prompt tokens read for each new one, from two seconds into the burst to four after it.
-        CHECK(mean(priced.readPerNew, 8, 16) < 1.1);
-        CHECK(mean(plain.readPerNew, 8, 16) > 1.3);
-        CHECK(mean(priced.pace, 8, 16) < 0.95 * mean(plain.pace, 8, 16));
-        // On a calm day nothing is lost by it.
-        CHECK(mean(priced.readPerNew, 1, 6) < 1.02 * mean(plain.readPerNew, 1, 6));
+        const placement_replay withInterference = replay({});
+        const placement_replay withoutInterference = replay(without);
+
+        // Prompt tokens read per new one, from two seconds into the burst to four seconds after it.
+        CHECK(mean(withInterference.readTokensPerNewToken, 8, 16) < 1.1);
+        CHECK(mean(withoutInterference.readTokensPerNewToken, 8, 16) > 1.3);
+        CHECK(mean(withInterference.msPerToken, 8, 16)
+              < 0.95 * mean(withoutInterference.msPerToken, 8, 16));
+        // Without a burst, the cost of interference causes no extra reads.
+        CHECK(mean(withInterference.readTokensPerNewToken, 1, 6)
+              < 1.02 * mean(withoutInterference.readTokensPerNewToken, 1, 6));
     }
 
-    // Guards against prompts that are read whole at each turn where callers keep the history.
+    // Guards against reading the whole prompt at each turn when callers send the history.
     TEST_CASE("turns find the replica that read their prompt, though no daemon remembers it")
     {
         const auto replay = [](const mechanism_set &mechanisms) {
@@ -211,12 +215,12 @@
         };
         mechanism_set without;
         without.switchOff(mechanism::SessionHomes);
-        const placement_replay homes = replay({});
-        const placement_replay chance = replay(without);
-        CHECK(mean(homes.readPerNew, 1, 6) < 1.2);
-        CHECK(mean(chance.readPerNew, 1, 6) > 2);
-        CHECK(mean(homes.readPerNew, 8, 16) < 1.5);
-        CHECK(mean(homes.pace, 8, 16) < 0.9 * mean(chance.pace, 8, 16));
+        const placement_replay withHomes = replay({});
+        const placement_replay withoutHomes = replay(without);
+        CHECK(mean(withHomes.readTokensPerNewToken, 1, 6) < 1.2);
+        CHECK(mean(withoutHomes.readTokensPerNewToken, 1, 6) > 2);
+        CHECK(mean(withHomes.readTokensPerNewToken, 8, 16) < 1.5);
+        CHECK(mean(withHomes.msPerToken, 8, 16) < 0.9 * mean(withoutHomes.msPerToken, 8, 16));
     }
 }
 
--- a/test/logic/replica_load_balancer_test.cpp
+++ b/test/logic/replica_load_balancer_test.cpp
@@ -26,9 +26,10 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-std::string chosen(replica_load_balancer &board, const placement_request &request, time_point now)
+std::string chosenReplica(replica_load_balancer &balancer, const placement_request &request,
+                          time_point now)
 {
-    const auto p = board.choose(request, now);
+    const auto p = balancer.choose(request, now);
     return p ? p->replica.incarnation.id.value : "none";
 }
 
@@ -38,31 +39,31 @@
 {
     TEST_CASE("a prompt goes where its beginning was read")
     {
-        replica_load_balancer board({"here"}, 1);
-        board.setReplicas({entry("a"), entry("b"), entry("c")}, at(0));
+        replica_load_balancer balancer({"here"}, 1);
+        balancer.setReplicas({entry("a"), entry("b"), entry("c")}, at(0));
         const placement_request request = prompt({{"system", 2000}, {"own", 500}});
-        const auto first = board.choose(request, at(0));
+        const auto first = balancer.choose(request, at(0));
         REQUIRE(first);
-        board.onSent(*first, request, at(0));
-        board.onDone(*first, send_outcome::Answered, at(100));
+        balancer.onSent(*first, request, at(0));
+        balancer.onDone(*first, send_outcome::Answered, at(100));
         for (int i = 0; i < 10; ++i)
-            CHECK(chosen(board, request, at(200)) == first->replica.incarnation.id.value);
+            CHECK(chosenReplica(balancer, request, at(200)) == first->replica.incarnation.id.value);
 
         SUBCASE("but not when that replica has much more to do")
         {
             for (int i = 0; i < 6; ++i)
-                board.onSent(*first, request, at(200));
-            CHECK(chosen(board, request, at(200)) != first->replica.incarnation.id.value);
+                balancer.onSent(*first, request, at(200));
+            CHECK(chosenReplica(balancer, request, at(200)) != first->replica.incarnation.id.value);
         }
         SUBCASE("and no longer once it has read so much else that the beginning is gone")
         {
-            board.setCacheTokens("model", 10'000);
+            balancer.setCacheTokens("model", 10'000);
             for (int i = 0; i < 10; ++i) {
                 const placement_request other = prompt({{"other" + std::to_string(i), 1000}});
-                board.onSent(*first, other, at(300));
-                board.onDone(*first, send_outcome::Answered, at(300));
+                balancer.onSent(*first, other, at(300));
+                balancer.onDone(*first, send_outcome::Answered, at(300));
             }
-            const auto p = board.choose(request, at(400));
+            const auto p = balancer.choose(request, at(400));
             REQUIRE(p);
             CHECK(p->cachedTokens == 0);
         }
@@ -70,97 +71,97 @@
 
     TEST_CASE("a replica that leaves gets nothing more")
     {
-        replica_load_balancer board({"here"}, 1);
+        replica_load_balancer balancer({"here"}, 1);
         replica_entry leaving = entry("a");
-        board.setReplicas({leaving, entry("b")}, at(0));
+        balancer.setReplicas({leaving, entry("b")}, at(0));
 
         SUBCASE("when its entry says so")
         {
             leaving.draining = true;
-            board.setReplicas({leaving, entry("b")}, at(10));
-            CHECK(chosen(board, prompt({}), at(20)) == "b");
-            // An older entry may be read after a newer one; a replica never comes back.
-            board.setReplicas({entry("a"), entry("b")}, at(30));
-            CHECK(chosen(board, prompt({}), at(40)) == "b");
+            balancer.setReplicas({leaving, entry("b")}, at(10));
+            CHECK(chosenReplica(balancer, prompt({}), at(20)) == "b");
+            // An older entry may be read after a newer one; a draining replica stays draining.
+            balancer.setReplicas({entry("a"), entry("b")}, at(30));
+            CHECK(chosenReplica(balancer, prompt({}), at(40)) == "b");
         }
         SUBCASE("when another replica has its address")
         {
-            board.setLeaving({{"a"}, 1});
-            CHECK(chosen(board, prompt({}), at(20)) == "b");
+            balancer.setLeaving({{"a"}, 1});
+            CHECK(chosenReplica(balancer, prompt({}), at(20)) == "b");
         }
         SUBCASE("when its entry is gone")
         {
-            board.setReplicas({entry("b")}, at(10));
-            CHECK(chosen(board, prompt({}), at(20)) == "b");
+            balancer.setReplicas({entry("b")}, at(10));
+            CHECK(chosenReplica(balancer, prompt({}), at(20)) == "b");
         }
     }
 
     TEST_CASE("a replica that can't be reached is left out and tried again later")
     {
-        replica_load_balancer board({"here"}, 1);
-        board.setReplicas({entry("a"), entry("b", "far")}, at(0));
-        REQUIRE(chosen(board, prompt({}), at(0)) == "a");
-        const auto p = board.choose(prompt({}), at(0));
-        board.onSent(*p, prompt({}), at(0));
-        board.onDone(*p, send_outcome::Unreachable, at(300));
-        CHECK(chosen(board, prompt({}), at(400)) == "b");
+        replica_load_balancer balancer({"here"}, 1);
+        balancer.setReplicas({entry("a"), entry("b", "far")}, at(0));
+        REQUIRE(chosenReplica(balancer, prompt({}), at(0)) == "a");
+        const auto p = balancer.choose(prompt({}), at(0));
+        balancer.onSent(*p, prompt({}), at(0));
+        balancer.onDone(*p, send_outcome::Unreachable, at(300));
+        CHECK(chosenReplica(balancer, prompt({}), at(400)) == "b");
 
         SUBCASE("after a while one request tries it, and no other meanwhile")
         {
-            const auto trial = board.choose(prompt({}), at(900));
+            const auto trial = balancer.choose(prompt({}), at(900));
             REQUIRE(trial);
             CHECK(trial->replica.incarnation.id.value == "a");
-            board.onSent(*trial, prompt({}), at(900));
-            CHECK(chosen(board, prompt({}), at(950)) == "b");
-            board.onDone(*trial, send_outcome::Answered, at(1000));
-            CHECK(chosen(board, prompt({}), at(1010)) == "a");
+            balancer.onSent(*trial, prompt({}), at(900));
+            CHECK(chosenReplica(balancer, prompt({}), at(950)) == "b");
+            balancer.onDone(*trial, send_outcome::Answered, at(1000));
+            CHECK(chosenReplica(balancer, prompt({}), at(1010)) == "a");
         }
         SUBCASE("it is better than none")
         {
             placement_request request = prompt({});
             request.tried.insert({{"b"}, 1});
-            CHECK(chosen(board, request, at(400)) == "a");
+            CHECK(chosenReplica(balancer, request, at(400)) == "a");
         }
     }
 
     TEST_CASE("a few broken answers are no reason to leave a replica out, several in a row are")
     {
-        replica_load_balancer board({"here"}, 1);
-        board.setReplicas({entry("a"), entry("b", "far")}, at(0));
-        const auto p = board.choose(prompt({}), at(0));
+        replica_load_balancer balancer({"here"}, 1);
+        balancer.setReplicas({entry("a"), entry("b", "far")}, at(0));
+        const auto p = balancer.choose(prompt({}), at(0));
         for (int i = 0; i < 3; ++i) {
-            board.onSent(*p, prompt({}), at(0));
-            board.onDone(*p, send_outcome::Broken, at(0));
+            balancer.onSent(*p, prompt({}), at(0));
+            balancer.onDone(*p, send_outcome::Broken, at(0));
         }
-        CHECK(chosen(board, prompt({}), at(0)) == "a");
-        board.onSent(*p, prompt({}), at(0));
-        board.onDone(*p, send_outcome::Broken, at(0));
-        CHECK(chosen(board, prompt({}), at(0)) == "b");
+        CHECK(chosenReplica(balancer, prompt({}), at(0)) == "a");
+        balancer.onSent(*p, prompt({}), at(0));
+        balancer.onDone(*p, send_outcome::Broken, at(0));
+        CHECK(chosenReplica(balancer, prompt({}), at(0)) == "b");
     }
 
     TEST_CASE("the time to read a prompt is learned, whatever the engine")
     {
         for (const double msPerToken : {0.01, 0.2}) {
-            first_byte_time_estimator wait;
+            first_byte_time_estimator estimator;
             for (int i = 0; i < 400; ++i) {
                 const double tokens = 200.0 * (i % 20);
-                wait.add(tokens, 50 + msPerToken * tokens);
+                estimator.add(tokens, 50 + msPerToken * tokens);
             }
-            CHECK(wait.msPerToken() == doctest::Approx(msPerToken).epsilon(0.1));
-            CHECK(wait.cachedPromptMs() == doctest::Approx(50).epsilon(0.1));
+            CHECK(estimator.msPerToken() == doctest::Approx(msPerToken).epsilon(0.1));
+            CHECK(estimator.cachedPromptMs() == doctest::Approx(50).epsilon(0.1));
         }
     }
 
     TEST_CASE("replicas of few and of many slots are filled alike")
     {
         for (const int slots : {2, 96}) {
-            replica_load_balancer board({"here"}, 1);
-            board.setReplicas({entry("a", "here", slots), entry("b", "here", slots)}, at(0));
+            replica_load_balancer balancer({"here"}, 1);
+            balancer.setReplicas({entry("a", "here", slots), entry("b", "here", slots)}, at(0));
             std::map<std::string, int> count;
             for (int i = 0; i < 2 * slots; ++i) {
-                const auto p = board.choose(prompt({}), at(i));
+                const auto p = balancer.choose(prompt({}), at(i));
                 REQUIRE(p);
-                board.onSent(*p, prompt({}), at(i));
+                balancer.onSent(*p, prompt({}), at(i));
                 ++count[p->replica.incarnation.id.value];
             }
             CHECK(count["a"] >= slots / 2);
--- a/test/logic/replica_restart_test.cpp
+++ b/test/logic/replica_restart_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-replica_entry entry(const std::string &id, std::int64_t born, bool draining = false,
+replica_entry entry(const std::string &id, std::int64_t startedUnixMs, bool draining = false,
                     std::uint64_t sequence = 1)
 {
-    return {{{id}, born}, "model", {"10.0.0.1", 80}, {"here"}, 8, draining, sequence};
+    return {{{id}, startedUnixMs}, "model", {"10.0.0.1", 80}, {"here"}, 8, draining, sequence};
 }
 
 placement_request request()
@@ -26,9 +26,9 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-std::int64_t chosenStart(replica_load_balancer &board, int ms)
+std::int64_t chosenStart(replica_load_balancer &balancer, int ms)
 {
-    const auto p = board.choose(request(), at(ms));
+    const auto p = balancer.choose(request(), at(ms));
     return p ? p->replica.incarnation.startedUnixMs : -1;
 }
 
@@ -36,23 +36,24 @@
 
 TEST_SUITE("replica restart")
 {
-    // After a rack lost power its replicas came back under their ids. The daemons went on as if
-    // nothing had happened: prompts were sent where nothing was cached any more, and replicas that
-    // had drained before the crash got no work for the rest of the day.
+    // Guards against state of an old process that is applied to a new one with the same id. After a
+    // rack lost power, its replicas restarted under their ids: prompts were sent to replicas that
+    // no longer had them cached, and replicas that had been draining before the crash got no
+    // requests for the rest of the day.
     TEST_CASE("a replica that starts again under its id begins with nothing")
     {
-        replica_load_balancer board({"here"}, 1);
-        board.setReplicas({entry("a", 100)}, at(0));
-        const auto first = board.choose(request(), at(0));
+        replica_load_balancer balancer({"here"}, 1);
+        balancer.setReplicas({entry("a", 100)}, at(0));
+        const auto first = balancer.choose(request(), at(0));
         REQUIRE(first);
-        board.onSent(*first, request(), at(0));
+        balancer.onSent(*first, request(), at(0));
 
         SUBCASE("what its old process had read is gone")
         {
-            board.onDone(*first, send_outcome::Answered, at(100));
-            REQUIRE(board.choose(request(), at(200))->cachedTokens == 2500);
-            board.setReplicas({entry("a", 200)}, at(300));
-            CHECK(board.choose(request(), at(400))->cachedTokens == 0);
+            balancer.onDone(*first, send_outcome::Answered, at(100));
+            REQUIRE(balancer.choose(request(), at(200))->cachedTokens == 2500);
+            balancer.setReplicas({entry("a", 200)}, at(300));
+            CHECK(balancer.choose(request(), at(400))->cachedTokens == 0);
         }
         SUBCASE("what a turn remembers of it counts for the old process only")
         {
@@ -60,103 +61,103 @@
             next.parts = {};
             next.lastReplica = first->replica.incarnation;
             next.lastTokens = 2000;
-            REQUIRE(board.choose(next, at(100))->cachedTokens == 2000);
-            board.setReplicas({entry("a", 200)}, at(300));
-            CHECK(board.choose(next, at(400))->cachedTokens == 0);
-            // Rows of earlier daemons don't tell which process answered.
+            REQUIRE(balancer.choose(next, at(100))->cachedTokens == 2000);
+            balancer.setReplicas({entry("a", 200)}, at(300));
+            CHECK(balancer.choose(next, at(400))->cachedTokens == 0);
+            // Rows written by earlier daemon versions don't contain the replica's start time.
             next.lastReplica.startedUnixMs = 0;
-            CHECK(board.choose(next, at(400))->cachedTokens == 0);
+            CHECK(balancer.choose(next, at(400))->cachedTokens == 0);
         }
         SUBCASE("work under way at the old process is not the new one's")
         {
-            REQUIRE(board.choose(request(), at(100))->outstanding == 1);
-            board.setReplicas({entry("a", 200)}, at(300));
-            const auto second = board.choose(request(), at(400));
+            REQUIRE(balancer.choose(request(), at(100))->outstanding == 1);
+            balancer.setReplicas({entry("a", 200)}, at(300));
+            const auto second = balancer.choose(request(), at(400));
             CHECK(second->outstanding == 0);
-            board.onSent(*second, request(), at(400));
-            // The old request ends only now, and badly: it says nothing of the new process.
-            board.onDone(*first, send_outcome::Unreachable, at(500));
-            CHECK(board.choose(request(), at(600))->outstanding == 1);
-            CHECK(board.ejectedReplicas() == 0);
+            balancer.onSent(*second, request(), at(400));
+            // A failure of the old request must not affect the new process.
+            balancer.onDone(*first, send_outcome::Unreachable, at(500));
+            CHECK(balancer.choose(request(), at(600))->outstanding == 1);
+            CHECK(balancer.ejectedReplicas() == 0);
         }
         SUBCASE("it may take a request again that broke off at the old process")
         {
             placement_request again = request();
             again.tried.insert(first->replica.incarnation);
-            CHECK_FALSE(board.choose(again, at(100)));
-            board.setReplicas({entry("a", 200)}, at(300));
-            CHECK(board.choose(again, at(400)));
+            CHECK_FALSE(balancer.choose(again, at(100)));
+            balancer.setReplicas({entry("a", 200)}, at(300));
+            CHECK(balancer.choose(again, at(400)));
         }
         SUBCASE("doubts go with the process that gave rise to them")
         {
-            board.onDone(*first, send_outcome::Unreachable, at(100));
-            REQUIRE(board.ejectedReplicas() == 1);
-            board.setReplicas({entry("a", 200)}, at(300));
-            CHECK(board.ejectedReplicas() == 0);
-            CHECK(board.lastReceivedAt(first->replica.incarnation) == time_point());
+            balancer.onDone(*first, send_outcome::Unreachable, at(100));
+            REQUIRE(balancer.ejectedReplicas() == 1);
+            balancer.setReplicas({entry("a", 200)}, at(300));
+            CHECK(balancer.ejectedReplicas() == 0);
+            CHECK(balancer.lastReceivedAt(first->replica.incarnation) == time_point());
         }
         SUBCASE("draining ends with the process that drained")
         {
-            board.setReplicas({entry("a", 100, true)}, at(100));
-            REQUIRE(chosenStart(board, 150) == -1);
-            board.setReplicas({entry("a", 200)}, at(200));
-            CHECK(chosenStart(board, 250) == 200);
+            balancer.setReplicas({entry("a", 100, true)}, at(100));
+            REQUIRE(chosenStart(balancer, 150) == -1);
+            balancer.setReplicas({entry("a", 200)}, at(200));
+            CHECK(chosenStart(balancer, 250) == 200);
         }
         SUBCASE("another replica at its old address says nothing of the new process")
         {
-            board.setReplicas({entry("a", 200)}, at(100));
-            board.setLeaving(first->replica.incarnation);
-            CHECK(chosenStart(board, 150) == 200);
+            balancer.setReplicas({entry("a", 200)}, at(100));
+            balancer.setLeaving(first->replica.incarnation);
+            CHECK(chosenStart(balancer, 150) == 200);
         }
         SUBCASE("the process that is over is told once, so that its connections go")
         {
-            const auto ended = board.setReplicas({entry("a", 200)}, at(100));
+            const auto ended = balancer.setReplicas({entry("a", 200)}, at(100));
             REQUIRE(ended.size() == 1);
             CHECK(ended.front().incarnation == first->replica.incarnation);
-            CHECK(board.isReplaced(first->replica.incarnation));
-            CHECK(board.setReplicas({entry("a", 200)}, at(200)).empty());
+            CHECK(balancer.isReplaced(first->replica.incarnation));
+            CHECK(balancer.setReplicas({entry("a", 200)}, at(200)).empty());
         }
     }
 
     TEST_CASE("entries that are read out of order change nothing")
     {
-        replica_load_balancer board({"here"}, 1);
+        replica_load_balancer balancer({"here"}, 1);
 
         SUBCASE("the old process's entry after the new one's")
         {
-            board.setReplicas({entry("a", 200)}, at(0));
-            CHECK(board.setReplicas({entry("a", 100, true)}, at(100)).empty());
-            CHECK(chosenStart(board, 150) == 200);
-            // One that tells no start is older than any that does.
-            board.setReplicas({entry("a", 0, true)}, at(200));
-            CHECK(chosenStart(board, 250) == 200);
+            balancer.setReplicas({entry("a", 200)}, at(0));
+            CHECK(balancer.setReplicas({entry("a", 100, true)}, at(100)).empty());
+            CHECK(chosenStart(balancer, 150) == 200);
+            // An entry without a start time counts as older than any entry with one.
+            balancer.setReplicas({entry("a", 0, true)}, at(200));
+            CHECK(chosenStart(balancer, 250) == 200);
         }
         SUBCASE("two starts within a heartbeat, the one between them last")
         {
-            board.setReplicas({entry("a", 100)}, at(0));
-            board.setReplicas({entry("a", 300)}, at(100));
-            board.setReplicas({entry("a", 200, true)}, at(200));
-            CHECK(chosenStart(board, 250) == 300);
+            balancer.setReplicas({entry("a", 100)}, at(0));
+            balancer.setReplicas({entry("a", 300)}, at(100));
+            balancer.setReplicas({entry("a", 200, true)}, at(200));
+            CHECK(chosenStart(balancer, 250) == 300);
         }
         SUBCASE("an older entry of the same process: draining stays, its address too")
         {
             replica_entry moved = entry("a", 100, false, 5);
             moved.address.port = 81;
-            board.setReplicas({moved}, at(0));
-            board.setReplicas({entry("a", 100, false, 4)}, at(100));
-            CHECK(board.choose(request(), at(150))->replica.address.port == 81);
-            board.setReplicas({entry("a", 100, true, 6)}, at(200));
-            board.setReplicas({entry("a", 100, false, 5)}, at(300));
-            CHECK(chosenStart(board, 350) == -1);
+            balancer.setReplicas({moved}, at(0));
+            balancer.setReplicas({entry("a", 100, false, 4)}, at(100));
+            CHECK(balancer.choose(request(), at(150))->replica.address.port == 81);
+            balancer.setReplicas({entry("a", 100, true, 6)}, at(200));
+            balancer.setReplicas({entry("a", 100, false, 5)}, at(300));
+            CHECK(chosenStart(balancer, 350) == -1);
         }
         SUBCASE("without a start a lower number may be a new process: it is taken in")
         {
             replica_entry moved = entry("a", 0, false, 5);
-            board.setReplicas({moved}, at(0));
+            balancer.setReplicas({moved}, at(0));
             moved.sequence = 1;
             moved.address.port = 82;
-            board.setReplicas({moved}, at(100));
-            CHECK(board.choose(request(), at(150))->replica.address.port == 82);
+            balancer.setReplicas({moved}, at(100));
+            CHECK(balancer.choose(request(), at(150))->replica.address.port == 82);
         }
     }
 }
