--- a/src/daemon/control_upstreams.cpp
+++ b/src/daemon/control_upstreams.cpp
@@ -34,7 +34,7 @@
     if (!m_config || !m_membership.isActive(runtime_clock::now())
         || !m_config->services.contains(service))
         return std::nullopt;
-    const auto other = m_scheduler.move(number, runtime_clock::now());
+    const auto other = m_scheduler.reroute(number, runtime_clock::now());
     if (!other)
         return std::nullopt;
     return placeOf(number, *other, service);
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -213,7 +213,7 @@
 {
     auto book = decodeConfiguration(row.value);
     if (!book) {
-        m_unreadable.tell(log_event::ConfigurationUnreadable, row, book.error());
+        m_unreadable.logOnce(log_event::ConfigurationUnreadable, row, book.error());
         return;
     }
     // An older version may be read after a newer one; it must never come back into force.
@@ -286,7 +286,7 @@
     const auto states = decodeMembers(row.value);
     // A daemon registers itself alone, under its own name; anything else is another writer's.
     if (!states || states->size() != 1 || states->front().name.value != row.name.key)
-        m_unreadable.tell(log_event::RowUnreadable, row, "not a member's state");
+        m_unreadable.logOnce(log_event::RowUnreadable, row, "not a member's state");
     else
         m_membership.onListed(states->front(), runtime_clock::now());
 }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -8,7 +8,7 @@
 #include "platform/platform_store.h"
 #include "replicas/replicas.h"
 #include "routes/routes.h"
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 
 #include <functional>
 #include <memory>
@@ -104,7 +104,7 @@
     gossip_socket m_gossip;
     route_book_ptr m_routes;
     replica_follower m_replicas;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     std::vector<endpoint> m_peersReachingStore;
     int m_aliveCount = 0;
     std::vector<member_state> m_publishedMembers;
--- a/src/entry/replica_follower.cpp
+++ b/src/entry/replica_follower.cpp
@@ -80,7 +80,8 @@
     // All may have started at once. The readers' number doubles with each look, and whoever hears
     // of a copy takes it.
     const int looks = m_looksWithout++;
-    const read_turns turns{m_turns.bound, m_turns.daemons >> std::min(looks, mostLooksWithout)};
+    const poll_schedule turns{m_turns.propagationBound,
+                              m_turns.liveDaemons >> std::min(looks, mostLooksWithout)};
     return looks >= mostLooksWithout || isReadDue(turns, duration::zero(), chance);
 }
 
@@ -146,7 +147,7 @@
 awaitable<void> replica_follower::follow()
 {
     while (true) {
-        const duration pause = lookPause(m_turns);
+        const duration pause = pollInterval(m_turns);
         // Callers are sent to daemons that reach the store, so each looks as often whether it does.
         const bool isStoreSilent
             = runtime_clock::now() - m_transport->lastAnswer() > pause || !m_storeWasReachable;
@@ -163,7 +164,7 @@
 
 void replica_follower::onDigest(const digest_news &news)
 {
-    const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
+    const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
     if (!isBehind || m_isTakingChanges)
         return;
     m_isTakingChanges = true;
@@ -215,7 +216,7 @@
         return jsonResponse(isNumber ? statusBusy : 400, "{}");
     const time_point now = runtime_clock::now();
     const table_changes changes = m_table.changesSince(after, now);
-    const bool isLarge = changes.isWhole && changes.rows.size() > manyChanges;
+    const bool isLarge = changes.isSnapshot && changes.rows.size() > manyChanges;
     if (isLarge && now < m_handedOutAt + handOutPause)
         return jsonResponse(statusBusy, "{}");
     if (isLarge)
@@ -233,7 +234,7 @@
         return m_replicas.erase(id) != 0;
     const auto read = decodeReplica(row->second);
     if (!read) {
-        m_unreadable.tell(log_event::ReplicaRowUnreadable, row->second, read.error());
+        m_unreadable.logOnce(log_event::ReplicaRowUnreadable, row->second, read.error());
         return m_replicas.erase(id) != 0;
     }
     replica_entry entry = known ? latestEntry(*known, *read) : *read;
--- a/src/entry/replica_follower.h
+++ b/src/entry/replica_follower.h
@@ -33,9 +33,9 @@
     /// \brief Reads when it is this daemon's turn. Runs until the program ends.
     awaitable<void> follow();
     /// \brief Takes in how long a leaving replica goes on serving.
-    void setDrain(duration drain) { m_turns.bound = drain; }
+    void setDrain(duration drain) { m_turns.propagationBound = drain; }
     /// \brief Takes in how many daemons live, this one included.
-    void setDaemons(std::size_t count) { m_turns.daemons = std::max<std::size_t>(1, count); }
+    void setDaemons(std::size_t count) { m_turns.liveDaemons = std::max<std::size_t>(1, count); }
 
     /// \brief Another daemon told of its copy. A newer one is asked for in the background.
     void onDigest(const digest_news &news);
@@ -74,10 +74,10 @@
     receiver m_onReplicas;
     connection_pool m_pool;
     std::minstd_rand m_random;
-    read_turns m_turns;
+    poll_schedule m_turns;
     table_cache m_table;
     std::map<upstream_id, replica_entry> m_replicas;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     /// Lines on single replicas at the change that is being taken in.
     std::size_t m_toldReplicas = 0;
     bool m_hasReplicas = false;
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -201,7 +201,7 @@
 {
     const auto row = decodeQuotaRow(found.value);
     if (!row) {
-        m_unreadable.tell(log_event::RowUnreadable, found, "not a row of quotas");
+        m_unreadable.logOnce(log_event::RowUnreadable, found, "not a row of quotas");
         return false;
     }
     const member_state &self = m_view.self();
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -133,7 +133,7 @@
     if (const json::value *words = o.if_contains("f"))
         m.replicaWords = replicaWordsIn(words->as_object());
     if (const json::value *replicas = o.if_contains("r"))
-        m.replicas = digestIn(*replicas);
+        m.replicas = digestFromJson(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
         for (const json::value &update : updates->as_array())
             m.updates.push_back(updateIn(update));
--- a/src/rows/read_turn.cpp
+++ b/src/rows/poll_schedule.cpp
@@ -1,4 +1,4 @@
-#include "rows/read_turn.h"
+#include "rows/poll_schedule.h"
 
 namespace azurehill {
 
@@ -6,30 +6,30 @@
 
 /// Looks within the bound: a change that this daemon has to read itself leaves time for a second
 /// read if the first fails.
-constexpr double looksPerBound = 4;
+constexpr double pollsPerBound = 4;
 /// A copy that is older than the bound divided by this is read anew: with the pause to the next
 /// look and a read that takes a second, a change is in force just within a bound of three seconds.
-constexpr double agesPerBound = 3;
+constexpr double refreshesPerBound = 3;
 /// Daemons that read at one look, on average. Then one of them reads every 62 ms where the bound is
 /// 4 s, and its news is everywhere in four to five rounds of pings.
-constexpr double readers = 16;
+constexpr double readersPerPoll = 16;
 
-duration part(duration whole, double count)
+duration fractionOf(duration whole, double count)
 {
     return std::chrono::duration_cast<duration>(whole / count);
 }
 
 } // namespace
 
-duration lookPause(const read_turns &turns)
+duration pollInterval(const poll_schedule &schedule)
 {
-    return part(turns.bound, looksPerBound);
+    return fractionOf(schedule.propagationBound, pollsPerBound);
 }
 
-bool isReadDue(const read_turns &turns, std::optional<duration> age, double chance)
+bool isReadDue(const poll_schedule &schedule, std::optional<duration> age, double uniformSample)
 {
-    const bool isTooOld = !age || *age > part(turns.bound, agesPerBound);
-    return isTooOld || chance * double(turns.daemons) < readers;
+    const bool isTooOld = !age || *age > fractionOf(schedule.propagationBound, refreshesPerBound);
+    return isTooOld || uniformSample * double(schedule.liveDaemons) < readersPerPoll;
 }
 
 } // namespace azurehill
--- a/src/rows/row.h
+++ b/src/rows/row.h
@@ -53,7 +53,7 @@
     /// Lets a turn begin.
     Begin,
     /// Nobody waits for it.
-    Upkeep,
+    Background,
 };
 
 template <>
@@ -65,7 +65,7 @@
 /// \brief Changes that happen together, or not at all when one condition fails.
 struct store_transaction
 {
-    write_urgency urgency = write_urgency::Upkeep;
+    write_urgency urgency = write_urgency::Background;
     std::vector<row_condition> conditions;
     std::vector<row_value> writes;
     std::vector<row_name> removals;
--- a/src/rows/table_digest_json.cpp
+++ b/src/rows/table_digest_json.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// A copy of this age is too old for any use.
-constexpr duration mostAge = std::chrono::hours(24);
+constexpr duration maxAge = std::chrono::hours(24);
 
 } // namespace
 
@@ -19,7 +19,7 @@
     return boost::json::array{digest.version, digest.hash, toMilliseconds(digest.age) + 1};
 }
 
-table_digest digestIn(const boost::json::value &value)
+table_digest digestFromJson(const boost::json::value &value)
 {
     table_digest digest;
     digest.version = value.at(0).to_number<store_version>();
@@ -27,7 +27,7 @@
     const auto ms = value.at(2).to_number<std::int64_t>();
     if (ms < 0)
         throw std::out_of_range("an age");
-    digest.age = milliseconds(std::min(ms, toMilliseconds(mostAge)));
+    digest.age = milliseconds(std::min(ms, toMilliseconds(maxAge)));
     return digest;
 }
 
--- a/src/rows/unreadable_rows.cpp
+++ b/src/rows/unreadable_row_log.cpp
@@ -1,19 +1,19 @@
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 
 namespace azurehill {
 
 namespace {
 
 /// Rows remembered, some 100 bytes each. A table with more spoiled rows has its lines told again.
-constexpr std::size_t mostRows = 1000;
+constexpr std::size_t maxLoggedRows = 1000;
 
 } // namespace
 
-void unreadable_rows::tell(log_event event, const stored_row &row, const std::string &detail)
+void unreadable_row_log::logOnce(log_event event, const stored_row &row, const std::string &detail)
 {
-    if (m_told.size() >= mostRows && !m_told.contains(row.name))
-        m_told.clear();
-    const auto [told, isNew] = m_told.try_emplace(row.name, row.version);
+    if (m_loggedVersions.size() >= maxLoggedRows && !m_loggedVersions.contains(row.name))
+        m_loggedVersions.clear();
+    const auto [told, isNew] = m_loggedVersions.try_emplace(row.name, row.version);
     if (!isNew && told->second == row.version)
         return;
     told->second = row.version;
--- a/src/rows/unreadable_rows.h
+++ b/src/rows/unreadable_row_log.h
@@ -12,14 +12,14 @@
 ///
 /// Tables are read again several times a second, and a row that another writer spoiled stays until
 /// somebody mends it: without a memory, each read would fill the log with the same line.
-class unreadable_rows
+class unreadable_row_log
 {
 public:
     /// \brief Logs \p event with the row's name and version, and \p detail, unless that was done.
-    void tell(log_event event, const stored_row &row, const std::string &detail);
+    void logOnce(log_event event, const stored_row &row, const std::string &detail);
 
 private:
-    std::map<row_name, store_version> m_told;
+    std::map<row_name, store_version> m_loggedVersions;
 };
 
 } // namespace azurehill
--- a/src/rows/write_queue.h
+++ b/src/rows/write_queue.h
@@ -46,7 +46,7 @@
     /// \returns what may go now, or nothing.
     std::optional<write_batch> take(time_point now);
     /// \returns when take() may have something, if anything waits.
-    std::optional<time_point> nextAt() const;
+    std::optional<time_point> nextBatchAt() const;
 
     /// \brief The store refused a write as beyond its rate.
     void onLimited(time_point now);
@@ -54,7 +54,7 @@
     void onDone(time_point now);
 
     /// \returns whether the write has not gone yet.
-    bool isWaiting(std::uint64_t number) const { return m_orders.contains(number); }
+    bool isWaiting(std::uint64_t number) const { return m_positions.contains(number); }
     std::size_t waiting() const { return m_waiting.size(); }
     /// \returns the writes a second that go at the most.
     double rate() const { return m_rate; }
@@ -66,11 +66,11 @@
         time_point deadline;
     };
     /// Most urgent first, then in order of arrival.
-    using order = std::tuple<write_urgency, std::uint64_t>;
+    using queue_position = std::tuple<write_urgency, std::uint64_t>;
 
-    double share() const { return m_writesPerSecond / m_daemons; }
+    double fairShare() const { return m_writesPerSecond / m_daemons; }
     void refill(time_point now);
-    bool fits(const store_transaction &batch, const store_transaction &t) const;
+    bool canMerge(const store_transaction &batch, const store_transaction &t) const;
 
     double m_writesPerSecond;
     int m_daemons = 1;
@@ -80,9 +80,9 @@
     double m_credit = 1;
     time_point m_filledAt;
     time_point m_limitedAt;
-    time_point m_loweredAt;
-    std::map<order, waiting_write> m_waiting;
-    std::map<std::uint64_t, order> m_orders;
+    time_point m_decreasedAt;
+    std::map<queue_position, waiting_write> m_waiting;
+    std::map<std::uint64_t, queue_position> m_positions;
 };
 
 } // namespace azurehill
--- a/src/sched/admission.h
+++ b/src/sched/admission_controller.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "sched/call.h"
-#include "sched/knobs.h"
+#include "sched/scheduler_parameters.h"
 
 #include <map>
 #include <random>
@@ -23,33 +23,35 @@
 };
 
 /// \brief How things stand when a program asks to begin.
-struct admission_view
+struct admission_state
 {
     /// Calls per slot of the service's replicas, those that wait here included.
-    double pressure = 0;
-    /// See service_ledger::excess().
-    double excess = 0;
+    double callsPerSlot = 0;
+    /// See service_ledger::shareExcess().
+    double shareExcess = 0;
     int tenantPrograms = 0;
 };
 
 /// \brief Admits or refuses programs. The calls of an admitted program are never refused for load:
 /// half a program helps nobody, so the room is kept for the turns of those that have begun.
-class admission
+class admission_controller
 {
 public:
-    admission(const sched_knobs &knobs, std::uint64_t seed) : m_knobs(knobs), m_random(seed) { }
-    void setKnobs(const sched_knobs &knobs) { m_knobs = knobs; }
+    admission_controller(const scheduler_parameters &parameters, std::uint64_t seed)
+        : m_parameters(parameters), m_random(seed)
+    { }
+    void setParameters(const scheduler_parameters &parameters) { m_parameters = parameters; }
 
     /// \returns nothing if the program may begin, or the time after which to ask again.
-    std::optional<duration> refuse(const program_request &request, const admission_view &view);
+    std::optional<duration> refuse(const program_request &request, const admission_state &view);
     /// \brief Learns how long programs of a class take at present.
     void onProgramEnd(const std::string &programClass, duration latency);
 
 private:
-    bool missesDeadline(const program_request &request, const admission_view &view) const;
-    duration comeBack(double pressure);
+    bool missesDeadline(const program_request &request, const admission_state &view) const;
+    duration jitteredRetryDelay(double callsPerSlot);
 
-    sched_knobs m_knobs;
+    scheduler_parameters m_parameters;
     std::minstd_rand m_random;
     std::map<std::string, double> m_latency;
 };
--- a/src/sched/call.h
+++ b/src/sched/call.h
@@ -31,7 +31,7 @@
     double weight = 1;
     std::optional<time_point> deadline;
     /// A replica that failed the call before, or an empty id.
-    upstream_id avoided;
+    upstream_id excludedReplica;
 };
 
 /// \brief How a call ended, as far as the choice of replicas is concerned.
--- a/src/sched/prefix_map.h
+++ b/src/sched/prefix_map.h
@@ -46,10 +46,10 @@
     {
         std::uint64_t last = 0;
         /// Entries not used since then may have been dropped by an event that got lost.
-        time_point doubtedBefore;
+        time_point uncertainBefore;
     };
 
-    double trust(const holder &h) const;
+    double confidence(const holder &h) const;
 
     std::unordered_map<prefix_key, std::vector<holder>> m_holders;
     std::unordered_map<replica_index, event_state> m_events;
--- a/src/sched/replica_health.cpp
+++ b/src/sched/replica_health.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr double sampleWeight = 0.2;
-constexpr double typicalWeight = 0.01;
+constexpr double sampleSmoothing = 0.2;
+constexpr double typicalSmoothing = 0.01;
 constexpr double outlierFactor = 4;
 constexpr int samplesBeforeEjection = 3;
 constexpr int failuresBeforeEjection = 3;
-constexpr int goodCallsToReturn = 5;
+constexpr int successesToClose = 5;
 constexpr int maxEjectionDoublings = 4;
 constexpr duration firstEjection = seconds(5);
 constexpr duration probeInterval = seconds(2);
@@ -22,36 +22,37 @@
 {
     // What counts as typical may be far from 1: a new replica begins there, not as an outlier.
     if (!h.known)
-        h.slowness = m_typical;
+        h.slowness = m_typicalSlowness;
     h.known = true;
-    h.slowness += sampleWeight * (slowness - h.slowness);
+    h.slowness += sampleSmoothing * (slowness - h.slowness);
     ++h.samples;
     // One slow replica must not move what counts as typical.
-    m_typical += typicalWeight * (std::min(slowness, 2 * m_typical) - m_typical);
+    m_typicalSlowness
+        += typicalSmoothing * (std::min(slowness, 2 * m_typicalSlowness) - m_typicalSlowness);
 }
 
 void replica_health::eject(health &h, time_point now)
 {
     h.openUntil = now + firstEjection * (1 << std::min(h.ejections, maxEjectionDoublings));
     ++h.ejections;
-    h.goodCallsWanted = goodCallsToReturn;
+    h.successesNeeded = successesToClose;
     h.samples = 0;
     h.failuresInRow = 0;
 }
 
-void replica_health::onGoodEnd(replica_index index, double slowness, time_point now)
+void replica_health::onSuccess(replica_index index, double slowness, time_point now)
 {
     health &h = m_health[index];
     sample(h, slowness);
     h.failuresInRow = 0;
-    const bool outlier = h.slowness > outlierFactor * m_typical;
+    const bool outlier = h.slowness > outlierFactor * m_typicalSlowness;
     if (now < h.openUntil)
         return;
-    if (h.goodCallsWanted > 0 && slowness < outlierFactor * m_typical) {
+    if (h.successesNeeded > 0 && slowness < outlierFactor * m_typicalSlowness) {
         h.slowness = std::min(h.slowness, slowness);
-        if (--h.goodCallsWanted == 0)
+        if (--h.successesNeeded == 0)
             h.ejections = 0;
-    } else if (outlier && (h.samples >= samplesBeforeEjection || h.goodCallsWanted > 0)) {
+    } else if (outlier && (h.samples >= samplesBeforeEjection || h.successesNeeded > 0)) {
         eject(h, now);
     }
 }
@@ -62,14 +63,14 @@
     ++h.failuresInRow;
     if (now < h.openUntil)
         return;
-    if (h.goodCallsWanted > 0 || h.failuresInRow >= failuresBeforeEjection)
+    if (h.successesNeeded > 0 || h.failuresInRow >= failuresBeforeEjection)
         eject(h, now);
 }
 
 void replica_health::onOverdue(replica_index index, double slowness, time_point now)
 {
     health &h = m_health[index];
-    if (slowness <= outlierFactor * m_typical || now < h.openUntil)
+    if (slowness <= outlierFactor * m_typicalSlowness || now < h.openUntil)
         return;
     h.slowness = std::max(h.slowness, slowness);
     h.known = true;
@@ -82,24 +83,24 @@
         it->second.probedAt = now;
 }
 
-circuit replica_health::state(replica_index index, time_point now) const
+circuit_state replica_health::state(replica_index index, time_point now) const
 {
     const auto it = m_health.find(index);
     if (it == m_health.end())
-        return circuit::Closed;
+        return circuit_state::Closed;
     if (now < it->second.openUntil)
-        return circuit::Open;
-    return it->second.goodCallsWanted > 0 ? circuit::Returning : circuit::Closed;
+        return circuit_state::Open;
+    return it->second.successesNeeded > 0 ? circuit_state::HalfOpen : circuit_state::Closed;
 }
 
-bool replica_health::mayTake(replica_index index, time_point now) const
+bool replica_health::mayReceiveCall(replica_index index, time_point now) const
 {
     switch (state(index, now)) {
-    case circuit::Closed:
+    case circuit_state::Closed:
         return true;
-    case circuit::Open:
+    case circuit_state::Open:
         return false;
-    case circuit::Returning:
+    case circuit_state::HalfOpen:
         return now - m_health.at(index).probedAt >= probeInterval;
     }
     return true;
@@ -111,7 +112,7 @@
     if (it == m_health.end() || !it->second.known)
         return 1;
     // Part of the slowness of all is in the estimates; only the difference to peers matters.
-    return std::clamp(it->second.slowness / m_typical, 0.5, 20.0);
+    return std::clamp(it->second.slowness / m_typicalSlowness, 0.5, 20.0);
 }
 
 } // namespace azurehill
--- a/src/sched/replica_health.h
+++ b/src/sched/replica_health.h
@@ -7,10 +7,10 @@
 namespace azurehill {
 
 /// \brief How far a replica is trusted with work.
-enum class circuit { Closed, Open, Returning };
+enum class circuit_state { Closed, Open, HalfOpen };
 
 template <>
-struct enum_names<circuit>
+struct enum_names<circuit_state>
 {
     static constexpr std::array<std::string_view, 3> names = {"closed", "open", "returning"};
 };
@@ -23,7 +23,7 @@
 class replica_health
 {
 public:
-    void onGoodEnd(replica_index index, double slowness, time_point now);
+    void onSuccess(replica_index index, double slowness, time_point now);
     void onFailure(replica_index index, time_point now);
     /// \brief A call that is under way has taken \p slowness times its estimate already.
     void onOverdue(replica_index index, double slowness, time_point now);
@@ -31,8 +31,8 @@
     void onSent(replica_index index, time_point now);
 
     /// \returns whether the replica may be given a call at \p now.
-    bool mayTake(replica_index index, time_point now) const;
-    circuit state(replica_index index, time_point now) const;
+    bool mayReceiveCall(replica_index index, time_point now) const;
+    circuit_state state(replica_index index, time_point now) const;
     /// \returns the factor on estimates for this replica, relative to its peers.
     double slowness(replica_index index) const;
 
@@ -48,14 +48,14 @@
         time_point openUntil;
         time_point probedAt;
         /// Good calls that are still wanted before the replica is trusted as before.
-        int goodCallsWanted = 0;
+        int successesNeeded = 0;
     };
 
     void sample(health &h, double slowness);
     void eject(health &h, time_point now);
 
     std::unordered_map<replica_index, health> m_health;
-    double m_typical = 1;
+    double m_typicalSlowness = 1;
 };
 
 } // namespace azurehill
--- a/src/sched/replica_table.h
+++ b/src/sched/replica_table.h
@@ -34,7 +34,9 @@
 class replica_table
 {
 public:
-    explicit replica_table(data_centre_id here) : m_here(std::move(here)) { }
+    explicit replica_table(data_centre_id localDataCentre)
+        : m_localDataCentre(std::move(localDataCentre))
+    { }
 
     /// \brief Takes in the replicas that the platform lists now.
     void setReplicas(const std::vector<replica> &listed);
@@ -51,18 +53,18 @@
     replica_index find(const upstream_id &id) const;
     const replica &at(replica_index index) const { return m_entries[index].listed; }
     /// \returns whether the replica may be given work.
-    bool isOpen(replica_index index) const;
+    bool isAvailable(replica_index index) const;
     load_estimate load(replica_index index) const;
     /// \returns prompt tokens of this daemon's calls that are under way there.
     std::int64_t ownTokens(replica_index index) const { return m_entries[index].ownTokens; }
     /// \returns the replicas of \p service that may be given work.
     const replica_group &group(std::string_view service) const;
     std::vector<replica> list() const;
-    const data_centre_id &here() const { return m_here; }
+    const data_centre_id &here() const { return m_localDataCentre; }
 
 private:
     /// \brief A change by this daemon that the last report may not show yet.
-    struct own_change
+    struct local_change
     {
         time_point at;
         int calls = 0;
@@ -72,19 +74,19 @@
     {
         replica listed;
         bool gone = false;
-        bool saidLeaving = false;
+        bool reportedLeaving = false;
         load_report report;
         std::int64_t ownTokens = 0;
         std::int64_t ownPrefill = 0;
-        std::deque<own_change> changes;
-        int changedCalls = 0;
-        std::int64_t changedPrefill = 0;
+        std::deque<local_change> changes;
+        int callsSinceReport = 0;
+        std::int64_t prefillSinceReport = 0;
     };
 
     static void change(entry &e, int calls, std::int64_t prefillTokens, time_point now);
     void regroup();
 
-    data_centre_id m_here;
+    data_centre_id m_localDataCentre;
     std::vector<entry> m_entries;
     std::unordered_map<upstream_id, replica_index> m_index;
     std::map<std::string, replica_group, std::less<>> m_groups;
--- a/src/sched/retry_budget.cpp
+++ b/src/sched/retry_budget.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-constexpr double mostTokens = 20;
-constexpr int mostAttempts = 3;
+constexpr double maxBudgetTokens = 20;
+constexpr int maxAttempts = 3;
 constexpr double firstDelaySeconds = 0.05;
 
 } // namespace
 
 void retry_budget::onCall()
 {
-    m_tokens = std::min(m_tokens + m_share, mostTokens);
+    m_tokens = std::min(m_tokens + m_share, maxBudgetTokens);
 }
 
 std::optional<duration> retry_budget::take(outcome ended, bool idempotent, int attempt)
 {
     const bool repeatable
         = ended == outcome::DidNotRun || (ended == outcome::Unknown && idempotent);
-    if (!repeatable || attempt >= mostAttempts || m_tokens < 1)
+    if (!repeatable || attempt >= maxAttempts || m_tokens < 1)
         return std::nullopt;
     m_tokens -= 1;
     std::uniform_real_distribution<double> jitter(0, firstDelaySeconds * (1 << attempt));
--- a/src/sched/scheduler.cpp
+++ b/src/sched/scheduler.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 /// Calls looked at when room comes free. Those behind them wait for the next time.
-constexpr int pumpScan = 32;
-constexpr std::size_t pressureSample = 32;
+constexpr int maxQueueScan = 32;
+constexpr std::size_t loadSample = 32;
 constexpr duration prefixAge = seconds(600);
 constexpr duration expiryInterval = seconds(30);
 constexpr double shortestEstimate = 0.2;
-constexpr int overdueCalls = 3;
+constexpr int minOverdueCalls = 3;
 constexpr double overdueFactor = 4;
 
 double toSeconds(duration d)
@@ -23,21 +23,22 @@
 
 } // namespace
 
-scheduler::scheduler(const sched_knobs &knobs, data_centre_id here, std::uint64_t seed)
-    : m_knobs(knobs), m_table(std::move(here)), m_router(knobs, seed), m_ledger(knobs),
-      m_admission(knobs, seed + 1), m_retries(knobs, seed + 2)
+scheduler::scheduler(const scheduler_parameters &parameters, data_centre_id localDataCentre,
+                     std::uint64_t seed)
+    : m_parameters(parameters), m_table(std::move(localDataCentre)), m_router(parameters, seed),
+      m_ledger(parameters), m_admission(parameters, seed + 1), m_retries(parameters, seed + 2)
 { }
 
 void scheduler::setReplicas(const std::vector<replica> &listed, time_point now)
 {
     m_table.setReplicas(listed);
-    pump(now);
+    dispatchWaiting(now);
 }
 
 void scheduler::onReport(const upstream_id &id, const load_report &report, time_point now)
 {
     m_table.onReport(id, report);
-    pump(now);
+    dispatchWaiting(now);
 }
 
 void scheduler::onCacheEvent(const upstream_id &id, const cache_event &event, time_point now)
@@ -46,28 +47,29 @@
         m_prefixes.onEvent(index, event, now);
 }
 
-double scheduler::pressure(std::string_view service) const
+double scheduler::callsPerSlot(std::string_view service) const
 {
     const replica_group &group = m_table.group(service);
     const std::size_t count = group.near.size() + group.far.size();
     if (count == 0)
         return 0;
     // An even sample: a look at thousands of replicas would cost more than it tells.
-    const std::size_t step = std::max<std::size_t>(1, count / pressureSample);
+    const std::size_t step = std::max<std::size_t>(1, count / loadSample);
     double calls = 0;
-    std::size_t looked = 0;
-    for (std::size_t i = 0; i < count; i += step, ++looked) {
+    std::size_t sampled = 0;
+    for (std::size_t i = 0; i < count; i += step, ++sampled) {
         const bool isNear = i < group.near.size();
         calls += m_table.load(isNear ? group.near[i] : group.far[i - group.near.size()]).calls;
     }
-    const double perReplica = calls / double(looked) + double(m_queue.size()) / double(count);
-    return perReplica / m_knobs.slotsPerReplica;
+    const double perReplica = calls / double(sampled) + double(m_queue.size()) / double(count);
+    return perReplica / m_parameters.slotsPerReplica;
 }
 
 std::optional<duration> scheduler::refuseProgram(const program_request &request, time_point now)
 {
-    const admission_view view{pressure(request.service), m_ledger.excess(request.tenant, now),
-                              m_ledger.programs(request.tenant)};
+    const admission_state view{callsPerSlot(request.service),
+                               m_ledger.shareExcess(request.tenant, now),
+                               m_ledger.programs(request.tenant)};
     return m_admission.refuse(request, view);
 }
 
@@ -90,20 +92,20 @@
         m_actions.emplace_back(release_prefix{m_table.at(index).id, prefix});
 }
 
-double scheduler::orderOf(const pending_call &call, time_point now) const
+double scheduler::queueOrder(const pending_call &call, time_point now) const
 {
-    const double service = m_ledger.attained(call.program) / call.weight;
-    return toSeconds(now.time_since_epoch()) + m_knobs.orderPerService * service;
+    const double service = m_ledger.attainedService(call.program) / call.weight;
+    return toSeconds(now.time_since_epoch()) + m_parameters.delayPerServiceSecond * service;
 }
 
 void scheduler::submit(pending_call call, time_point now)
 {
     m_retries.onCall();
-    const double order = orderOf(call, now);
-    if (m_queue.empty() && place(call, order, now))
+    const double order = queueOrder(call, now);
+    if (m_queue.empty() && tryDispatch(call, order, now))
         return;
     m_queue.add(order, std::move(call));
-    pump(now);
+    dispatchWaiting(now);
 }
 
 void scheduler::cancel(call_number number, time_point now)
@@ -114,33 +116,33 @@
     if (it == m_sent.end())
         return;
     const sent_call &sent = it->second;
-    m_table.onDone(sent.where.replica, sent.call.promptTokens, sent.where.prefillTokens, sent.at,
-                   now);
-    m_prefixes.drop(stableHash(sent.call.program.value), sent.where.replica);
+    m_table.onDone(sent.placement.replica, sent.call.promptTokens, sent.placement.prefillTokens,
+                   sent.at, now);
+    m_prefixes.drop(stableHash(sent.call.program.value), sent.placement.replica);
     m_sent.erase(it);
-    pump(now);
+    dispatchWaiting(now);
 }
 
-std::optional<upstream_id> scheduler::move(call_number number, time_point now)
+std::optional<upstream_id> scheduler::reroute(call_number number, time_point now)
 {
     const auto it = m_sent.find(number);
     if (it == m_sent.end())
         return std::nullopt;
     sent_call &sent = it->second;
-    const replica_index from = sent.where.replica;
-    const auto where = m_router.choose(sent.call, m_ledger.expectedOutput(sent.call.program),
-                                       m_table, m_prefixes, m_health, now, from);
-    if (!where || !m_retries.take(outcome::DidNotRun, true, sent.attempts))
+    const replica_index from = sent.placement.replica;
+    const auto placement = m_router.choose(sent.call, m_ledger.expectedOutput(sent.call.program),
+                                           m_table, m_prefixes, m_health, now, from);
+    if (!placement || !m_retries.take(outcome::DidNotRun, true, sent.attempts))
         return std::nullopt;
-    m_table.onDone(from, sent.call.promptTokens, sent.where.prefillTokens, sent.at, now);
+    m_table.onDone(from, sent.call.promptTokens, sent.placement.prefillTokens, sent.at, now);
     m_health.onFailure(from, now);
     m_prefixes.drop(stableHash(sent.call.program.value), from);
-    m_table.onSent(where->replica, sent.call.promptTokens, where->prefillTokens, now);
-    m_health.onSent(where->replica, now);
-    sent.where = *where;
+    m_table.onSent(placement->replica, sent.call.promptTokens, placement->prefillTokens, now);
+    m_health.onSent(placement->replica, now);
+    sent.placement = *placement;
     sent.at = now;
     ++sent.attempts;
-    return m_table.at(where->replica).id;
+    return m_table.at(placement->replica).id;
 }
 
 std::optional<replica> scheduler::findReplica(const upstream_id &id) const
@@ -149,13 +151,13 @@
     return index == noReplica ? std::nullopt : std::optional(m_table.at(index));
 }
 
-void scheduler::setKnobs(const sched_knobs &knobs)
+void scheduler::setParameters(const scheduler_parameters &parameters)
 {
-    m_knobs = knobs;
-    m_router.setKnobs(knobs);
-    m_ledger.setKnobs(knobs);
-    m_admission.setKnobs(knobs);
-    m_retries.setShare(knobs.retryShare);
+    m_parameters = parameters;
+    m_router.setParameters(parameters);
+    m_ledger.setParameters(parameters);
+    m_admission.setParameters(parameters);
+    m_retries.setShare(parameters.retryRatio);
 }
 
 void scheduler::retainPrograms(const std::function<bool(const program_id &)> &isUnderWay,
@@ -170,15 +172,16 @@
         endProgram(id, now);
 }
 
-bool scheduler::hasRoom(const pending_call &call, replica_index index) const
+bool scheduler::hasCapacity(const pending_call &call, replica_index index) const
 {
-    const int most = m_knobs.slotsPerReplica + m_knobs.callsAhead;
+    const int maxCalls = m_parameters.slotsPerReplica + m_parameters.maxEngineQueue;
     const std::int64_t own = m_table.ownTokens(index);
-    const bool fits = own == 0 || own + call.promptTokens <= m_knobs.tokensInFlightPerReplica;
-    return fits && m_table.load(index).calls < most;
+    const bool fitsTokenLimit
+        = own == 0 || own + call.promptTokens <= m_parameters.tokensInFlightPerReplica;
+    return fitsTokenLimit && m_table.load(index).calls < maxCalls;
 }
 
-bool scheduler::place(const pending_call &call, double order, time_point now)
+bool scheduler::tryDispatch(const pending_call &call, double order, time_point now)
 {
     const replica_group &group = m_table.group(call.service);
     if (group.near.empty() && group.far.empty()) {
@@ -190,26 +193,27 @@
             refuse_call{call.number, refusal_reason::DeadlinePassed, duration::zero()});
         return true;
     }
-    const auto where = m_router.choose(call, m_ledger.expectedOutput(call.program), m_table,
-                                       m_prefixes, m_health, now, m_table.find(call.avoided));
-    if (!where || !hasRoom(call, where->replica))
+    const auto placement
+        = m_router.choose(call, m_ledger.expectedOutput(call.program), m_table, m_prefixes,
+                          m_health, now, m_table.find(call.excludedReplica));
+    if (!placement || !hasCapacity(call, placement->replica))
         return false;
-    m_table.onSent(where->replica, call.promptTokens, where->prefillTokens, now);
-    m_health.onSent(where->replica, now);
-    m_prefixes.set(stableHash(call.program.value), where->replica, call.promptTokens, now);
+    m_table.onSent(placement->replica, call.promptTokens, placement->prefillTokens, now);
+    m_health.onSent(placement->replica, now);
+    m_prefixes.set(stableHash(call.program.value), placement->replica, call.promptTokens, now);
     if (call.sharedPrefix != 0)
-        m_prefixes.set(call.sharedPrefix, where->replica, call.sharedTokens, now);
-    m_sent.emplace(call.number, sent_call{call, *where, now, 1});
-    m_actions.emplace_back(dispatch_call{call.number, m_table.at(where->replica).id,
+        m_prefixes.set(call.sharedPrefix, placement->replica, call.sharedTokens, now);
+    m_sent.emplace(call.number, sent_call{call, *placement, now, 1});
+    m_actions.emplace_back(dispatch_call{call.number, m_table.at(placement->replica).id,
                                          static_cast<std::int64_t>(order * 1000)});
     return true;
 }
 
-void scheduler::pump(time_point now)
+void scheduler::dispatchWaiting(time_point now)
 {
-    int looked = 0;
-    for (auto it = m_queue.begin(); it != m_queue.end() && looked < pumpScan; ++looked)
-        it = place(it->second, it->first.first, now) ? m_queue.erase(it) : std::next(it);
+    int examined = 0;
+    for (auto it = m_queue.begin(); it != m_queue.end() && examined < maxQueueScan; ++examined)
+        it = tryDispatch(it->second, it->first.first, now) ? m_queue.erase(it) : std::next(it);
 }
 
 void scheduler::onEnd(call_number number, const call_result &end, time_point now)
@@ -219,9 +223,9 @@
         return;
     const sent_call sent = std::move(it->second);
     m_sent.erase(it);
-    const replica_index index = sent.where.replica;
+    const replica_index index = sent.placement.replica;
     const prefix_key prefix = stableHash(sent.call.program.value);
-    m_table.onDone(index, sent.call.promptTokens, sent.where.prefillTokens, sent.at, now);
+    m_table.onDone(index, sent.call.promptTokens, sent.placement.prefillTokens, sent.at, now);
     if (end.refusedAsLeaving)
         m_table.setLeaving(index);
     if (end.failed) {
@@ -231,13 +235,13 @@
         m_prefixes.drop(prefix, index);
     } else {
         const double took = toSeconds(now - sent.at);
-        m_health.onGoodEnd(index, took / std::max(sent.where.seconds, shortestEstimate), now);
+        m_health.onSuccess(index, took / std::max(sent.placement.seconds, shortestEstimate), now);
         const std::int64_t prefill = end.cachedTokens ? sent.call.promptTokens - *end.cachedTokens
-                                                      : sent.where.prefillTokens;
+                                                      : sent.placement.prefillTokens;
         m_ledger.charge(sent.call, prefill, end.outputTokens, now);
         m_prefixes.set(prefix, index, sent.call.promptTokens + end.outputTokens, now);
     }
-    pump(now);
+    dispatchWaiting(now);
 }
 
 std::optional<duration> scheduler::retryAfter(outcome ended, bool idempotent, int attempt)
@@ -245,34 +249,34 @@
     return m_retries.take(ended, idempotent, attempt);
 }
 
-void scheduler::watchOverdue(time_point now)
+void scheduler::ejectOverdue(time_point now)
 {
     // A replica that became slow shows it at the ends of its calls, far too late. Several calls
     // that should have ended long ago show it at once; a single one may just have a long answer.
     std::unordered_map<replica_index, std::pair<int, double>> overdue;
     for (const auto &[number, sent] : m_sent) {
         const double slowness
-            = toSeconds(now - sent.at) / std::max(sent.where.seconds, shortestEstimate);
+            = toSeconds(now - sent.at) / std::max(sent.placement.seconds, shortestEstimate);
         if (slowness < overdueFactor)
             continue;
-        auto &[calls, least] = overdue[sent.where.replica];
-        least = calls == 0 ? slowness : std::min(least, slowness);
+        auto &[calls, minSlowness] = overdue[sent.placement.replica];
+        minSlowness = calls == 0 ? slowness : std::min(minSlowness, slowness);
         ++calls;
     }
     for (const auto &[index, found] : overdue) {
-        if (found.first >= overdueCalls)
+        if (found.first >= minOverdueCalls)
             m_health.onOverdue(index, found.second, now);
     }
 }
 
 void scheduler::onTick(time_point now)
 {
-    watchOverdue(now);
+    ejectOverdue(now);
     if (now - m_expiredAt >= expiryInterval) {
         m_prefixes.expire(prefixAge, now);
         m_expiredAt = now;
     }
-    pump(now);
+    dispatchWaiting(now);
 }
 
 std::vector<sched_action> scheduler::takeActions()
--- a/src/sched/scheduler.h
+++ b/src/sched/scheduler.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "sched/admission.h"
+#include "sched/admission_controller.h"
 #include "sched/call_queue.h"
 #include "sched/prefix_map.h"
 #include "sched/replica_health.h"
@@ -20,7 +20,8 @@
 class scheduler
 {
 public:
-    scheduler(const sched_knobs &knobs, data_centre_id here, std::uint64_t seed);
+    scheduler(const scheduler_parameters &parameters, data_centre_id localDataCentre,
+              std::uint64_t seed);
 
     void setReplicas(const std::vector<replica> &listed, time_point now);
     void onReport(const upstream_id &id, const load_report &report, time_point now);
@@ -38,7 +39,7 @@
     void cancel(call_number number, time_point now);
     /// \brief Moves a call that did not run to another replica, if the retry budget allows.
     /// \returns the other replica.
-    std::optional<upstream_id> move(call_number number, time_point now);
+    std::optional<upstream_id> reroute(call_number number, time_point now);
     void onEnd(call_number number, const call_result &end, time_point now);
     /// \brief Asks whether a call that ended badly may be sent again. \returns after which delay.
     std::optional<duration> retryAfter(outcome ended, bool idempotent, int attempt);
@@ -48,20 +49,20 @@
     std::vector<sched_action> takeActions();
 
     /// \brief Takes over what a new preset says.
-    void setKnobs(const sched_knobs &knobs);
+    void setParameters(const scheduler_parameters &parameters);
     /// \brief Ends the programs for which \p isUnderWay says no, such as those that moved away.
     void retainPrograms(const std::function<bool(const program_id &)> &isUnderWay, time_point now);
     std::optional<replica> findReplica(const upstream_id &id) const;
     std::vector<replica> replicas() const { return m_table.list(); }
     /// \returns calls per slot on the replicas of \p service, with the calls that wait here.
-    double pressure(std::string_view service) const;
+    double callsPerSlot(std::string_view service) const;
     std::size_t queued() const { return m_queue.size(); }
 
 private:
     struct sent_call
     {
         pending_call call;
-        route where;
+        route placement;
         time_point at;
         int attempts = 1;
     };
@@ -71,20 +72,20 @@
         time_point startedAt;
     };
 
-    bool place(const pending_call &call, double order, time_point now);
-    bool hasRoom(const pending_call &call, replica_index index) const;
-    void pump(time_point now);
-    void watchOverdue(time_point now);
-    double orderOf(const pending_call &call, time_point now) const;
+    bool tryDispatch(const pending_call &call, double order, time_point now);
+    bool hasCapacity(const pending_call &call, replica_index index) const;
+    void dispatchWaiting(time_point now);
+    void ejectOverdue(time_point now);
+    double queueOrder(const pending_call &call, time_point now) const;
 
-    sched_knobs m_knobs;
+    scheduler_parameters m_parameters;
     replica_table m_table;
     prefix_map m_prefixes;
     replica_health m_health;
     router m_router;
     service_ledger m_ledger;
     call_queue m_queue;
-    admission m_admission;
+    admission_controller m_admission;
     retry_budget m_retries;
     std::unordered_map<call_number, sent_call> m_sent;
     std::unordered_map<program_id, known_program> m_programs;
--- a/src/store/paced_store.cpp
+++ b/src/store/paced_store.cpp
@@ -12,14 +12,14 @@
 
 /// Pause before a read that was refused as beyond the store's rate is made again. Reads are three
 /// times as many as writes there, so this is rare.
-constexpr duration readPause = milliseconds(30);
+constexpr duration readRetryDelay = milliseconds(30);
 
-store_error givenUp()
+store_error queueTimeoutError()
 {
     return {store_error_kind::Refused, "waited too long for its turn to be written", {}};
 }
 
-store_error inDoubt()
+store_error unknownOutcomeError()
 {
     return {store_error_kind::Unknown, "no answer in time", {}};
 }
@@ -38,7 +38,7 @@
 }
 
 /// \returns whether the conditions of \p t hold on \p rows. A row that is not there has version 0.
-bool holds(const store_transaction &t, const std::vector<stored_row> &rows)
+bool conditionsHold(const store_transaction &t, const std::vector<stored_row> &rows)
 {
     return std::all_of(t.conditions.begin(), t.conditions.end(), [&](const row_condition &c) {
         store_version version = 0;
@@ -72,39 +72,39 @@
     const auto pending = std::make_shared<pending_write>(m_executor, std::move(t), deadline);
     m_pending.emplace(number, pending);
     m_queue.add(number, std::move(copy), deadline);
-    pump();
+    dispatchWaiting();
     while (!pending->result) {
-        pending->alarm.expires_at(deadline);
+        pending->deadlineTimer.expires_at(deadline);
         boost::system::error_code code;
-        co_await pending->alarm.async_wait(asio::redirect_error(use_awaitable, code));
+        co_await pending->deadlineTimer.async_wait(asio::redirect_error(use_awaitable, code));
         if (pending->result || runtime_clock::now() < deadline)
             continue;
         // Once it went, others may still wait for the call, and this write may take effect.
         const bool isCertain = m_queue.withdraw(number);
-        pending->result = tl::unexpected(isCertain ? givenUp() : inDoubt());
+        pending->result = tl::unexpected(isCertain ? queueTimeoutError() : unknownOutcomeError());
     }
     m_pending.erase(number);
     co_return std::move(*pending->result);
 }
 
-void paced_store::pump()
+void paced_store::dispatchWaiting()
 {
     while (auto batch = m_queue.take(runtime_clock::now())) {
         spawn(m_executor, "sendWrites", send(std::move(*batch)));
     }
-    if (m_queue.waiting() > 0 && !m_isPumpWaiting) {
-        m_isPumpWaiting = true;
-        spawn(m_executor, "pumpLater", pumpLater());
+    if (m_queue.waiting() > 0 && !m_isDispatchScheduled) {
+        m_isDispatchScheduled = true;
+        spawn(m_executor, "pumpLater", dispatchWaitingLater());
     }
 }
 
-awaitable<void> paced_store::pumpLater()
+awaitable<void> paced_store::dispatchWaitingLater()
 {
-    const auto next = m_queue.nextAt();
+    const auto next = m_queue.nextBatchAt();
     if (next)
         co_await sleepFor(std::max<duration>(milliseconds(1), *next - runtime_clock::now()));
-    m_isPumpWaiting = false;
-    pump();
+    m_isDispatchScheduled = false;
+    dispatchWaiting();
 }
 
 awaitable<void> paced_store::send(write_batch batch)
@@ -116,11 +116,11 @@
         m_queue.onDone(now);
     else if (result.error().kind == store_error_kind::Limited)
         m_queue.onLimited(now);
-    settle(batch, result);
-    pump();
+    completeBatch(batch, result);
+    dispatchWaiting();
 }
 
-void paced_store::settle(const write_batch &batch, const store_result<store_version> &result)
+void paced_store::completeBatch(const write_batch &batch, const store_result<store_version> &result)
 {
     const bool isLimited = !result && result.error().kind == store_error_kind::Limited;
     const bool isConflict = !result && result.error().kind == store_error_kind::Conflict;
@@ -128,39 +128,39 @@
         if (!m_pending.contains(number))
             continue; // given up meanwhile
         if (isLimited) {
-            putBack(number);
+            requeue(number);
             continue;
         }
         if (!isConflict || batch.members.size() == 1) {
-            finish(number, result);
+            complete(number, result);
             continue;
         }
         // One condition fails all: those whose own conditions hold go again.
         const store_transaction &own = m_pending.at(number)->transaction;
         const std::vector<stored_row> rows = rowsOf(own, result.error().current);
-        if (holds(own, rows))
-            putBack(number);
+        if (conditionsHold(own, rows))
+            requeue(number);
         else
-            finish(number,
-                   tl::unexpected(store_error{store_error_kind::Conflict, "conflict", rows}));
+            complete(number,
+                     tl::unexpected(store_error{store_error_kind::Conflict, "conflict", rows}));
     }
 }
 
-void paced_store::putBack(std::uint64_t number)
+void paced_store::requeue(std::uint64_t number)
 {
     const pending_ptr pending = m_pending.at(number);
     if (runtime_clock::now() >= pending->deadline) {
-        finish(number, tl::unexpected(givenUp()));
+        complete(number, tl::unexpected(queueTimeoutError()));
         return;
     }
     m_queue.add(number, pending->transaction, pending->deadline);
 }
 
-void paced_store::finish(std::uint64_t number, store_result<store_version> result)
+void paced_store::complete(std::uint64_t number, store_result<store_version> result)
 {
     const pending_ptr pending = m_pending.at(number);
     pending->result = std::move(result);
-    pending->alarm.cancel();
+    pending->deadlineTimer.cancel();
 }
 
 awaitable<store_result<row_page>> paced_store::read(row_range range, time_point deadline)
@@ -169,9 +169,9 @@
         row_range copy = range;
         auto page = co_await m_inner.read(std::move(copy), deadline);
         const bool isLimited = !page && page.error().kind == store_error_kind::Limited;
-        if (!isLimited || runtime_clock::now() + readPause >= deadline)
+        if (!isLimited || runtime_clock::now() + readRetryDelay >= deadline)
             co_return page;
-        co_await sleepFor(readPause);
+        co_await sleepFor(readRetryDelay);
     }
 }
 
--- a/src/store/paced_store.h
+++ b/src/store/paced_store.h
@@ -38,22 +38,22 @@
     struct pending_write
     {
         pending_write(const asio::any_io_executor &executor, store_transaction t, time_point until)
-            : transaction(std::move(t)), deadline(until), alarm(executor)
+            : transaction(std::move(t)), deadline(until), deadlineTimer(executor)
         { }
         store_transaction transaction;
         time_point deadline;
-        timer alarm;
+        timer deadlineTimer;
         std::optional<store_result<store_version>> result;
     };
     using pending_ptr = std::shared_ptr<pending_write>;
 
     /// \brief Sends what may go, and sees to it that the rest goes when it may.
-    void pump();
-    awaitable<void> pumpLater();
+    void dispatchWaiting();
+    awaitable<void> dispatchWaitingLater();
     awaitable<void> send(write_batch batch);
-    void settle(const write_batch &batch, const store_result<store_version> &result);
-    void putBack(std::uint64_t number);
-    void finish(std::uint64_t number, store_result<store_version> result);
+    void completeBatch(const write_batch &batch, const store_result<store_version> &result);
+    void requeue(std::uint64_t number);
+    void complete(std::uint64_t number, store_result<store_version> result);
 
     asio::any_io_executor m_executor;
     store &m_inner;
@@ -61,7 +61,7 @@
     write_queue m_queue;
     std::map<std::uint64_t, pending_ptr> m_pending;
     std::uint64_t m_lastNumber = 0;
-    bool m_isPumpWaiting = false;
+    bool m_isDispatchScheduled = false;
 };
 
 } // namespace azurehill
--- a/src/store/store_transport.cpp
+++ b/src/store/store_transport.cpp
@@ -9,7 +9,7 @@
 constexpr duration maxIdle = seconds(5);
 constexpr std::size_t maxIdleConnections = 16;
 /// The store's host is a few milliseconds away; a lost opening packet is sent again after a second.
-constexpr duration connectTime = milliseconds(400);
+constexpr duration connectTimeout = milliseconds(400);
 
 } // namespace
 
@@ -22,7 +22,7 @@
 {
     http_connection connection = m_pool.take(m_store, runtime_clock::now());
     if (!connection.isReusable()) {
-        const time_point until = std::min(deadline, runtime_clock::now() + connectTime);
+        const time_point until = std::min(deadline, runtime_clock::now() + connectTimeout);
         const auto connected = co_await connection.connect(m_store, until);
         if (!connected)
             co_return tl::unexpected(connected.error());
--- a/src/turns/turn_ledger.cpp
+++ b/src/turns/turn_ledger.cpp
@@ -56,7 +56,7 @@
     {
         if (kind == step_kind::Reserve)
             return write_urgency::Begin;
-        return kind == step_kind::Commit ? write_urgency::End : write_urgency::Upkeep;
+        return kind == step_kind::Commit ? write_urgency::End : write_urgency::Background;
     }
 
     /// \returns whether \p account shows that the step took effect.
@@ -135,7 +135,7 @@
         auto account = decodeAccount(row.value);
         state.isUnreadable = !account;
         if (!account) {
-            m_unreadable.tell(log_event::RowUnreadable, row, "not an account");
+            m_unreadable.logOnce(log_event::RowUnreadable, row, "not an account");
             continue;
         }
         state.account = std::move(*account);
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -159,7 +159,7 @@
     changeTable();
     for (int i = 0; i < int(m_daemons.size()); ++i) {
         const double phase = std::uniform_real_distribution<double>(0, 1)(m_random);
-        const auto wait = std::chrono::duration_cast<duration>(phase * lookPause(m_turns));
+        const auto wait = std::chrono::duration_cast<duration>(phase * pollInterval(m_turns));
         push(m_now + wait, {i, -1, std::nullopt, true});
     }
 }
@@ -186,7 +186,7 @@
         ++tableReads;
         copy.onRead(tablePage(), m_now);
     }
-    push(m_now + lookPause(m_turns), {daemon, -1, std::nullopt, true});
+    push(m_now + pollInterval(m_turns), {daemon, -1, std::nullopt, true});
 }
 
 void membership_replay::onDigests(int daemon)
@@ -196,7 +196,7 @@
             return;
         const int other = news.peer.port;
         table_cache &copy = m_copies[std::size_t(daemon)];
-        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
+        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
         const bool isReached = !m_stopped.contains(other) && !m_cut.contains({daemon, other});
         if (isBehind && isReached) {
             const table_cache &theirs = m_copies[std::size_t(other)];
--- a/test/io/paced_store_test.cpp
+++ b/test/io/paced_store_test.cpp
@@ -28,7 +28,7 @@
 }
 
 /// \brief A paced store, and writes that are wanted at the same moment.
-struct paced_world
+struct paced_store_fixture
 {
     row_store rows;
     model_store inner{rows};
@@ -37,22 +37,22 @@
     std::vector<store_result<store_version>> results;
 
     /// \brief The store's rate is so low that all but the first wait and go together.
-    paced_world() { paced.setRates(1, 1); }
+    paced_store_fixture() { paced.setRates(1, 1); }
 
-    awaitable<void> write(store_transaction t, duration patience, std::size_t place)
+    awaitable<void> write(store_transaction t, duration timeout, std::size_t index)
     {
-        auto result = co_await paced.transact(std::move(t), later(patience));
-        results.at(place) = std::move(result);
+        auto result = co_await paced.transact(std::move(t), later(timeout));
+        results.at(index) = std::move(result);
     }
 
-    void writeAll(const std::vector<store_transaction> &writes, duration patience = seconds(30))
+    void writeAll(const std::vector<store_transaction> &writes, duration timeout = seconds(30))
     {
-        writeAll(writes, std::vector<duration>(writes.size(), patience));
+        writeAll(writes, std::vector<duration>(writes.size(), timeout));
     }
 
-    /// \param patience how long the caller of each write waits.
+    /// \param timeouts how long the caller of each write waits.
     void writeAll(const std::vector<store_transaction> &writes,
-                  const std::vector<duration> &patience)
+                  const std::vector<duration> &timeouts)
     {
         const paused_clock pause;
         results.assign(writes.size(), store_version(0));
@@ -60,9 +60,9 @@
             int open = int(writes.size());
             for (std::size_t i = 0; i < writes.size(); ++i) {
                 auto one
-                    = [this, t = writes[i], patience = patience[i], i, &open]() -> awaitable<void> {
+                    = [this, t = writes[i], timeout = timeouts[i], i, &open]() -> awaitable<void> {
                     store_transaction copy = t;
-                    co_await write(std::move(copy), patience, i);
+                    co_await write(std::move(copy), timeout, i);
                     --open;
                 };
                 asio::co_spawn(context, std::move(one), asio::detached);
@@ -80,7 +80,7 @@
 {
     TEST_CASE("writes that waited go together, and each gets its own result")
     {
-        paced_world w;
+        paced_store_fixture w;
         // The first two use up what was saved.
         const std::vector<store_transaction> writes{put("a", 0), put("b", 0), put("c", 0),
                                                     put("d", 0), put("e", 0)};
@@ -123,15 +123,15 @@
     {
         // At its limit the store answered in 300 ms. Each call had a write in it with less time
         // left, so all were given up and asked again: ends of answers waited for two seconds.
-        paced_world w;
+        paced_store_fixture w;
         w.inner.nextFault = [] { return store_fault::Slow; };
         std::vector<store_transaction> writes;
-        std::vector<duration> patience;
+        std::vector<duration> timeouts;
         for (int i = 0; i < 6; ++i) {
             writes.push_back(put("p" + std::to_string(i), 0));
-            patience.push_back(i == 5 ? milliseconds(1200) : milliseconds(9000));
+            timeouts.push_back(i == 5 ? milliseconds(1200) : milliseconds(9000));
         }
-        w.writeAll(writes, patience);
+        w.writeAll(writes, timeouts);
         for (int i = 0; i < 5; ++i)
             CHECK(w.results[std::size_t(i)]);
         REQUIRE_FALSE(w.results[5]);
@@ -140,7 +140,7 @@
 
     TEST_CASE("a write beyond the store's rate goes again, and is given up in time")
     {
-        paced_world w;
+        paced_store_fixture w;
         int refusals = 3;
         w.inner.nextFault
             = [&] { return refusals-- > 0 ? store_fault::Limited : store_fault::None; };
--- a/test/logic/sched_admission_test.cpp
+++ b/test/logic/sched_admission_test.cpp
@@ -7,8 +7,8 @@
 
 TEST_CASE("New programs are refused when they would not be finished in time")
 {
-    const sched_knobs knobs;
-    admission a(knobs, 1);
+    const scheduler_parameters parameters;
+    admission_controller a(parameters, 1);
     program_request request;
     request.programClass = "lesson";
     request.limit = seconds(60);
@@ -19,21 +19,21 @@
     }
     SUBCASE("when the replicas are full, with a time to come back")
     {
-        const auto again = a.refuse(request, {knobs.fullPressure + 0.5, 0, 0});
+        const auto again = a.refuse(request, {parameters.maxCallsPerSlot + 0.5, 0, 0});
         REQUIRE(again);
         CHECK(*again > duration::zero());
         CHECK(*again <= seconds(30));
     }
     SUBCASE("earlier for a tenant above its share")
     {
-        CHECK(a.refuse(request, {knobs.sharePressure + 0.1, 0.5, 0}));
-        CHECK_FALSE(a.refuse(request, {knobs.sharePressure + 0.1, 0, 0}));
+        CHECK(a.refuse(request, {parameters.fairShareCallsPerSlot + 0.1, 0.5, 0}));
+        CHECK_FALSE(a.refuse(request, {parameters.fairShareCallsPerSlot + 0.1, 0, 0}));
     }
     SUBCASE("when programs of the class take longer than their limit under pressure")
     {
         a.onProgramEnd("lesson", seconds(90));
-        CHECK(a.refuse(request, {knobs.sharePressure + 0.1, 0, 0}));
-        CHECK_FALSE(a.refuse(request, {knobs.sharePressure - 0.1, 0, 0}));
+        CHECK(a.refuse(request, {parameters.fairShareCallsPerSlot + 0.1, 0, 0}));
+        CHECK_FALSE(a.refuse(request, {parameters.fairShareCallsPerSlot - 0.1, 0, 0}));
     }
     SUBCASE("when the tenant has as many programs as it may")
     {
@@ -49,19 +49,19 @@
     ledger.startProgram({"p1"}, {"tenant"}, 1);
     ledger.startProgram({"p2"}, {"other"}, 3);
     ledger.charge(callOf(1, "p1"), 6000, 0, at(0));
-    CHECK(ledger.excess({"tenant"}, at(0)) == doctest::Approx(0.75));
-    CHECK(ledger.excess({"other"}, at(0)) == 0);
-    CHECK(ledger.attained({"p1"}) == doctest::Approx(1));
+    CHECK(ledger.shareExcess({"tenant"}, at(0)) == doctest::Approx(0.75));
+    CHECK(ledger.shareExcess({"other"}, at(0)) == 0);
+    CHECK(ledger.attainedService({"p1"}) == doctest::Approx(1));
 
     SUBCASE("sub-agents are charged to their family")
     {
         ledger.startProgram({"p1.1"}, {"tenant"}, 1);
         ledger.charge(callOf(2, "p1.1"), 6000, 0, at(0));
-        CHECK(ledger.attained({"p1"}) == doctest::Approx(2));
+        CHECK(ledger.attainedService({"p1"}) == doctest::Approx(2));
         ledger.endProgram({"p1.1"});
-        CHECK(ledger.attained({"p1"}) == doctest::Approx(2));
+        CHECK(ledger.attainedService({"p1"}) == doctest::Approx(2));
         ledger.endProgram({"p1"});
-        CHECK(ledger.attained({"p1"}) == 0);
+        CHECK(ledger.attainedService({"p1"}) == 0);
         CHECK(ledger.programs({"tenant"}) == 0);
     }
 }
--- a/test/logic/sched_replica_table_test.cpp
+++ b/test/logic/sched_replica_table_test.cpp
@@ -48,14 +48,14 @@
         SUBCASE("the list that still names it doesn't bring it back")
         {
             table.setReplicas({listed("a"), listed("b", "there")});
-            CHECK_FALSE(table.isOpen(a));
+            CHECK_FALSE(table.isAvailable(a));
         }
         SUBCASE("a new address under the name is a new process")
         {
             replica again = listed("a");
             again.address = "a:2";
             table.setReplicas({again});
-            CHECK(table.isOpen(a));
+            CHECK(table.isAvailable(a));
             CHECK(table.list().size() == 1);
         }
     }
--- a/test/logic/sched_scheduler_test.cpp
+++ b/test/logic/sched_scheduler_test.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-sched_knobs smallKnobs()
+scheduler_parameters singleSlotParameters()
 {
-    sched_knobs knobs;
-    knobs.slotsPerReplica = 1;
-    knobs.callsAhead = 0;
-    return knobs;
+    scheduler_parameters parameters;
+    parameters.slotsPerReplica = 1;
+    parameters.maxEngineQueue = 0;
+    return parameters;
 }
 
 program_request programOf(const std::string &id)
@@ -31,7 +31,7 @@
 
 TEST_CASE("Calls beyond the room of the replicas wait in order")
 {
-    scheduler s(smallKnobs(), {"here"}, 1);
+    scheduler s(singleSlotParameters(), {"here"}, 1);
     s.setReplicas({listed("a")}, at(0));
     for (const char *id : {"p1", "p2", "p3"})
         s.startProgram(programOf(id), at(0));
@@ -77,9 +77,9 @@
     }
     SUBCASE("the tokens in flight of a replica are bounded, but one call always fits")
     {
-        sched_knobs knobs;
-        knobs.tokensInFlightPerReplica = 1500;
-        scheduler bounded(knobs, {"here"}, 1);
+        scheduler_parameters parameters;
+        parameters.tokensInFlightPerReplica = 1500;
+        scheduler bounded(parameters, {"here"}, 1);
         bounded.setReplicas({listed("a")}, at(0));
         bounded.submit(callOf(1, "p1", 5000), at(0));
         bounded.submit(callOf(2, "p2", 1000), at(0));
@@ -93,7 +93,7 @@
 // sending it work, and calls that waited for it were refused as well.
 TEST_CASE("A leaving replica gets nothing more at its first sign, and waiting calls move")
 {
-    scheduler s(smallKnobs(), {"here"}, 1);
+    scheduler s(singleSlotParameters(), {"here"}, 1);
     s.setReplicas({listed("a")}, at(0));
     s.submit(callOf(1, "p1"), at(0));
     s.submit(callOf(2, "p2"), at(0));
@@ -128,25 +128,25 @@
 
 TEST_CASE("A call that did not run moves to another replica within the budget")
 {
-    scheduler s(smallKnobs(), {"here"}, 1);
+    scheduler s(singleSlotParameters(), {"here"}, 1);
     s.setReplicas({listed("a")}, at(0));
     s.submit(callOf(1, "p1"), at(0));
     dispatched(s);
-    CHECK_FALSE(s.move(1, at(0)));
+    CHECK_FALSE(s.reroute(1, at(0)));
     s.setReplicas({listed("a"), listed("b")}, at(0));
-    CHECK(s.move(1, at(0))->value == "b");
+    CHECK(s.reroute(1, at(0))->value == "b");
     CHECK(s.replicas()[0].outstanding == 0);
     CHECK(s.replicas()[1].outstanding == 1);
 
     SUBCASE("twice at the most")
     {
-        CHECK(s.move(1, at(0))->value == "a");
-        CHECK_FALSE(s.move(1, at(0)));
+        CHECK(s.reroute(1, at(0))->value == "a");
+        CHECK_FALSE(s.reroute(1, at(0)));
     }
     SUBCASE("never once it has ended")
     {
         s.onEnd(1, {}, at(1));
-        CHECK_FALSE(s.move(1, at(1)));
+        CHECK_FALSE(s.reroute(1, at(1)));
     }
 }
 
@@ -182,13 +182,13 @@
 TEST_CASE("Every call is dispatched or refused exactly once")
 {
     CHECK(rc::check([](const std::vector<std::uint8_t> &steps) {
-        scheduler s(smallKnobs(), {"here"}, 1);
+        scheduler s(singleSlotParameters(), {"here"}, 1);
         s.setReplicas({listed("a"), listed("b")}, at(0));
         std::map<call_number, int> answers;
         std::vector<call_number> running;
         call_number last = 0;
         double now = 0;
-        const auto collect = [&] {
+        const auto sampleCandidates = [&] {
             for (const sched_action &a : s.takeActions()) {
                 if (const auto *d = std::get_if<dispatch_call>(&a)) {
                     ++answers[d->number];
@@ -208,13 +208,13 @@
             } else {
                 s.submit(callOf(++last, "p" + std::to_string(step)), at(now));
             }
-            collect();
+            sampleCandidates();
         }
         while (!running.empty()) {
             now += 0.1;
             s.onEnd(running.back(), {}, at(now));
             running.pop_back();
-            collect();
+            sampleCandidates();
         }
         RC_ASSERT(answers.size() == last);
         for (const auto &[number, count] : answers)
--- a/test/logic/store_overload_replay_test.cpp
+++ b/test/logic/store_overload_replay_test.cpp
@@ -32,10 +32,10 @@
     static constexpr int daemons = 62;
     static constexpr int callsPerSecond = 1500;
     /// Clients leave a stream that stands still for this long.
-    static constexpr int clientGapMs = 1700;
+    static constexpr int clientStallTimeoutMs = 1700;
     /// Turns of a program at a time, one group after the other: four of eleven have others beside
     /// them, as 29 to 37 in 100 did in logs of 62 and 87 hosts.
-    static constexpr std::array<int, 8> groups{1, 1, 1, 4, 1, 1, 1, 1};
+    static constexpr std::array<int, 8> turnGroups{1, 1, 1, 4, 1, 1, 1, 1};
     static constexpr int turnsOfProgram = 11;
 
     parallel_turns_replay()
@@ -56,12 +56,12 @@
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
             if (m_now % 1000 == 0) {
                 programs.push_back(0);
-                inAim.push_back(0);
+                withinTarget.push_back(0);
                 calls.push_back(0);
                 failed.push_back(0);
             }
             ++m_now;
-            m_storeCredit = std::min(mostSaved, m_storeCredit + callsPerSecond / 1000.0);
+            m_storeCredit = std::min(maxCredit, m_storeCredit + callsPerSecond / 1000.0);
             m_due += double(turnsPerSecond) / turnsOfProgram / 1000;
             for (; m_due >= 1; m_due -= 1)
                 beginProgram();
@@ -72,7 +72,7 @@
     /// By the second in which programs began: their number, and those that ended in their aim. By
     /// the second: calls of the store, and those of them that failed for a condition.
     std::vector<int> programs;
-    std::vector<int> inAim;
+    std::vector<int> withinTarget;
     std::vector<int> calls;
     std::vector<int> failed;
     /// Ends that were not durable within the client's gap.
@@ -83,19 +83,19 @@
 private:
     static constexpr int streamMs = 250;
     static constexpr int answerMs = 12;
-    static constexpr int storePatienceMs = 1500;
-    static constexpr int comeBackMs = 2000;
-    static constexpr int mostTries = 4;
+    static constexpr int storeTimeoutMs = 1500;
+    static constexpr int clientRetryDelayMs = 2000;
+    static constexpr int maxAttempts = 4;
     /// 1.3 times what the program takes alone, with 46 ms a turn for the way, and 250 ms.
-    static constexpr int aimMs = 13 * int(groups.size()) * (streamMs + 46) / 10 + 250;
-    static constexpr double mostSaved = 40;
+    static constexpr int targetMs = 13 * int(turnGroups.size()) * (streamMs + 46) / 10 + 250;
+    static constexpr double maxCredit = 40;
 
     struct program_state
     {
         std::size_t second = 0;
         int beganAt = 0;
         std::size_t group = 0;
-        int open = 0;
+        int openTurns = 0;
         /// Of its account.
         int version = 0;
     };
@@ -103,11 +103,11 @@
     {
         std::size_t program = 0;
         std::size_t daemon = 0;
-        int tries = 0;
+        int attempts = 0;
         bool isEnding = false;
         bool isOpen = false;
-        int wantedAt = 0;
-        int givenUpAt = 0;
+        int requestedAt = 0;
+        int expiresAt = 0;
         /// Of the account as this turn's daemon knows it.
         int seenVersion = 0;
     };
@@ -129,39 +129,42 @@
     void beginGroup(std::size_t number)
     {
         program_state &program = m_programs.at(number);
-        if (program.group == groups.size()) {
-            if (m_now - program.beganAt <= aimMs)
-                ++inAim.at(program.second);
+        if (program.group == turnGroups.size()) {
+            if (m_now - program.beganAt <= targetMs)
+                ++withinTarget.at(program.second);
             return;
         }
-        program.open = groups.at(program.group++);
-        for (int i = 0; i < program.open; ++i) {
+        program.openTurns = turnGroups.at(program.group++);
+        for (int i = 0; i < program.openTurns; ++i) {
             m_turns.emplace_back().program = number;
-            ask(m_turns.size() - 1);
+            sendTurn(m_turns.size() - 1);
         }
     }
 
-    void ask(std::size_t number)
+    void sendTurn(std::size_t number)
     {
         turn_state &turn = m_turns.at(number);
-        if (turn.tries++ == mostTries)
+        if (turn.attempts++ == maxAttempts)
             return;
         turn.daemon = m_pick(m_random);
         // Daemons read the account with the turn that they go on from.
-        learn(turn);
-        want(number, false, storePatienceMs);
+        refreshVersion(turn);
+        requestWrite(number, false, storeTimeoutMs);
     }
 
-    void learn(turn_state &turn) { turn.seenVersion = m_programs.at(turn.program).version; }
+    void refreshVersion(turn_state &turn)
+    {
+        turn.seenVersion = m_programs.at(turn.program).version;
+    }
 
-    void want(std::size_t number, bool isEnding, int patienceMs)
+    void requestWrite(std::size_t number, bool isEnding, int timeoutMs)
     {
         turn_state &turn = m_turns.at(number);
         turn.isEnding = isEnding;
         turn.isOpen = true;
-        turn.wantedAt = m_now;
-        turn.givenUpAt = m_now + patienceMs;
-        m_givenUp[turn.givenUpAt].push_back(number);
+        turn.requestedAt = m_now;
+        turn.expiresAt = m_now + timeoutMs;
+        m_expiring[turn.expiresAt].push_back(number);
         enqueue(number);
     }
 
@@ -174,21 +177,21 @@
         t.urgency = turn.isEnding ? write_urgency::End : write_urgency::Begin;
         t.conditions.push_back({row, turn.isEnding ? 0 : store_version(turn.seenVersion)});
         t.writes.push_back({row, "value"});
-        m_queues.at(turn.daemon).add(number, std::move(t), at(turn.givenUpAt));
+        m_queues.at(turn.daemon).add(number, std::move(t), at(turn.expiresAt));
     }
 
-    void giveUp(std::size_t number)
+    void expire(std::size_t number)
     {
         turn_state &turn = m_turns.at(number);
-        if (!turn.isOpen || turn.givenUpAt != m_now)
+        if (!turn.isOpen || turn.expiresAt != m_now)
             return;
         turn.isOpen = false;
         m_queues.at(turn.daemon).withdraw(number);
         endsLost += turn.isEnding ? 1 : 0;
-        m_asks[m_now + (turn.isEnding ? 1 : comeBackMs)].push_back(number);
+        m_sends[m_now + (turn.isEnding ? 1 : clientRetryDelayMs)].push_back(number);
     }
 
-    bool storeTakes()
+    bool storeAccepts()
     {
         ++calls.back();
         if (m_storeCredit < 1)
@@ -204,7 +207,7 @@
 
     void call(write_queue &queue, const write_batch &batch)
     {
-        if (!storeTakes()) {
+        if (!storeAccepts()) {
             m_limited[m_now + answerMs].push_back(&queue);
             answerAll(batch, false);
             return;
@@ -219,7 +222,7 @@
             if (isDone && !turn.isEnding)
                 ++m_programs.at(turn.program).version;
             if (isDone || !holdsFor(turn))
-                learn(turn);
+                refreshVersion(turn);
         }
         answerAll(batch, isDone);
     }
@@ -244,8 +247,8 @@
             m_ends[m_now + streamMs].push_back(a.turn);
             return;
         }
-        endWaits.push_back(m_now - turn.wantedAt);
-        if (--m_programs.at(turn.program).open == 0)
+        endWaits.push_back(m_now - turn.requestedAt);
+        if (--m_programs.at(turn.program).openTurns == 0)
             beginGroup(turn.program);
     }
 
@@ -255,12 +258,12 @@
             queue->onLimited(at(m_now));
         for (const answer &a : std::exchange(m_answers[m_now], {}))
             onAnswer(a);
-        for (const std::size_t number : std::exchange(m_givenUp[m_now], {}))
-            giveUp(number);
+        for (const std::size_t number : std::exchange(m_expiring[m_now], {}))
+            expire(number);
         for (const std::size_t number : std::exchange(m_ends[m_now], {}))
-            want(number, true, clientGapMs);
-        for (const std::size_t number : std::exchange(m_asks[m_now], {}))
-            ask(number);
+            requestWrite(number, true, clientStallTimeoutMs);
+        for (const std::size_t number : std::exchange(m_sends[m_now], {}))
+            sendTurn(number);
         for (write_queue &queue : m_queues) {
             while (const auto batch = queue.take(at(m_now)))
                 call(queue, *batch);
@@ -272,12 +275,12 @@
     std::deque<turn_state> m_turns;
     std::map<int, std::vector<answer>> m_answers;
     std::map<int, std::vector<write_queue *>> m_limited;
-    std::map<int, std::vector<std::size_t>> m_givenUp;
+    std::map<int, std::vector<std::size_t>> m_expiring;
     std::map<int, std::vector<std::size_t>> m_ends;
-    std::map<int, std::vector<std::size_t>> m_asks;
+    std::map<int, std::vector<std::size_t>> m_sends;
     std::mt19937 m_random{1};
     std::discrete_distribution<std::size_t> m_pick;
-    double m_storeCredit = mostSaved;
+    double m_storeCredit = maxCredit;
     int m_now = 0;
     double m_due = 0;
 };
@@ -313,17 +316,17 @@
         SUBCASE("of 1.3 times its rate: half of the programs that begin in it end in their aim")
         {
             const parallel_turns_replay world = replay(975);
-            CHECK(sum(world.inAim, 4, 10) > 0.5 * sum(world.programs, 4, 10));
-            CHECK(sum(world.inAim, 15, 20) > 0.9 * sum(world.programs, 15, 20));
+            CHECK(sum(world.withinTarget, 4, 10) > 0.5 * sum(world.programs, 4, 10));
+            CHECK(sum(world.withinTarget, 15, 20) > 0.9 * sum(world.programs, 15, 20));
         }
         SUBCASE("of 1.6 times: five seconds after its end nine tenths do")
         {
             const parallel_turns_replay world = replay(1200);
-            CHECK(sum(world.inAim, 15, 20) > 0.9 * sum(world.programs, 15, 20));
+            CHECK(sum(world.withinTarget, 15, 20) > 0.9 * sum(world.programs, 15, 20));
             // What has most behind it finishes, though the store still takes begins.
             CHECK(world.endsLost == 0);
             CHECK(*std::max_element(world.endWaits.begin(), world.endWaits.end())
-                  < parallel_turns_replay::clientGapMs);
+                  < parallel_turns_replay::clientStallTimeoutMs);
         }
     }
 }
--- a/test/logic/table_cache_test.cpp
+++ b/test/logic/table_cache_test.cpp
@@ -53,14 +53,14 @@
         SUBCASE("so does another daemon's copy with the same rows, by the moment of the question")
         {
             const table_digest same{12, own.digest(at(0))->hash, milliseconds(50)};
-            CHECK(own.onDigest(same, at(900)) == digest_verdict::Same);
+            CHECK(own.onDigest(same, at(900)) == digest_comparison::Same);
             CHECK(own.age(at(1000)) == milliseconds(150));
             CHECK(own.version() == 12);
         }
         SUBCASE("an old answer makes it no older")
         {
             const table_digest same{8, own.digest(at(0))->hash, milliseconds(5000)};
-            CHECK(own.onDigest(same, at(900)) == digest_verdict::Same);
+            CHECK(own.onDigest(same, at(900)) == digest_comparison::Same);
             CHECK(own.age(at(1000)) == milliseconds(1000));
             CHECK(own.version() == 10);
         }
@@ -75,10 +75,10 @@
         table_cache frozen;
         frozen.onRead(page(10, {row("a", 3), row("b", 7)}), at(-5000));
         CHECK_FALSE(own.onRead(page(10, {row("a", 3), row("b", 7)}), at(100)));
-        CHECK(own.onDigest(*frozen.digest(at(100)), at(90)) == digest_verdict::Ahead);
+        CHECK(own.onDigest(*frozen.digest(at(100)), at(90)) == digest_comparison::Ahead);
         CHECK_FALSE(own.onChanges(frozen.changesSince(0, at(100)), at(90)));
         CHECK(own.rows().size() == 1);
-        CHECK(frozen.onDigest(*own.digest(at(100)), at(90)) == digest_verdict::Behind);
+        CHECK(frozen.onDigest(*own.digest(at(100)), at(90)) == digest_comparison::Behind);
         CHECK(frozen.onChanges(own.changesSince(frozen.version(), at(100)), at(90)));
         CHECK(areSame(own, frozen));
     }
@@ -93,9 +93,9 @@
         reader.onRead(page(15, {row("a", 12), row("c", 8), row("d", 14)}), at(1000));
 
         const table_changes changes = reader.changesSince(follower.version(), at(1010));
-        CHECK_FALSE(changes.isWhole);
+        CHECK_FALSE(changes.isSnapshot);
         CHECK(changes.rows.size() == 2);
-        CHECK(changes.gone.size() == 1);
+        CHECK(changes.removed.size() == 1);
         SUBCASE("and make the copies the same")
         {
             const auto back = decodeChanges(encodeChanges(changes), "t");
@@ -116,7 +116,7 @@
             table_cache late;
             late.onRead(page(5, {row("a", 3), row("z", 4)}), at(0));
             const table_changes whole = reader.changesSince(late.version(), at(1010));
-            CHECK(whole.isWhole);
+            CHECK(whole.isSnapshot);
             CHECK(late.onChanges(whole, at(1005)));
             CHECK(areSame(reader, late));
         }
@@ -162,7 +162,7 @@
             };
             const auto talk = [&](table_cache &asker, const table_cache &other) {
                 const auto digest = other.digest(at(ms));
-                if (!digest || asker.onDigest(*digest, at(ms)) != digest_verdict::Behind)
+                if (!digest || asker.onDigest(*digest, at(ms)) != digest_comparison::Behind)
                     return;
                 const table_cache before = asker;
                 if (asker.onChanges(other.changesSince(asker.version(), at(ms)), at(ms))) {
--- a/test/logic/write_queue_test.cpp
+++ b/test/logic/write_queue_test.cpp
@@ -32,8 +32,11 @@
 public:
     explicit limited_store(double callsPerSecond) : m_callsPerSecond(callsPerSecond) { }
 
-    void passMillisecond() { m_credit = std::min(mostSaved, m_credit + m_callsPerSecond / 1000); }
-    bool takes()
+    void advanceMillisecond()
+    {
+        m_credit = std::min(maxCredit, m_credit + m_callsPerSecond / 1000);
+    }
+    bool accept()
     {
         ++calls;
         if (m_credit < 1)
@@ -44,9 +47,9 @@
     int calls = 0;
 
 private:
-    static constexpr double mostSaved = 40;
+    static constexpr double maxCredit = 40;
     double m_callsPerSecond;
-    double m_credit = mostSaved;
+    double m_credit = maxCredit;
 };
 
 /// \brief Daemons whose turns each need a write to begin and one to end, on a store that is short.
@@ -70,10 +73,10 @@
     {
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
             ++m_now;
-            m_store.passMillisecond();
+            m_store.advanceMillisecond();
             m_due += turnsPerSecond / 1000.0;
             for (; m_due >= 1; m_due -= 1) {
-                ++asked.back();
+                ++requested.back();
                 begin(m_turns.emplace_back());
             }
             step();
@@ -83,13 +86,13 @@
     }
 
     /// Turns that began and that ended with their last write done, and calls made, by second.
-    std::vector<int> asked{0};
+    std::vector<int> requested{0};
     std::vector<int> done{0};
     std::vector<int> calls;
 
 private:
     static constexpr int streamMs = 250;
-    static constexpr int patienceMs = 1500;
+    static constexpr int timeoutMs = 1500;
     static constexpr int answerMs = 8;
     static constexpr int firstPauseMs = 40;
 
@@ -97,49 +100,49 @@
     {
         std::size_t number = 0;
         bool isEnding = false;
-        int givenUpAt = 0;
+        int expiresAt = 0;
         int pauseMs = firstPauseMs;
     };
-    struct happening
+    struct write_event
     {
         std::size_t turn = 0;
-        bool isWritten = false;
+        bool isAnswer = false;
     };
 
     void begin(turn_state &turn)
     {
         turn.number = m_turns.size() - 1;
-        want(turn, false);
+        requestWrite(turn, false);
     }
-    void want(turn_state &turn, bool isEnding)
+    void requestWrite(turn_state &turn, bool isEnding)
     {
         turn.isEnding = isEnding;
-        turn.givenUpAt = m_now + patienceMs;
+        turn.expiresAt = m_now + timeoutMs;
         if (m_isPaced)
             enqueue(turn);
         else
-            callAlone(turn);
+            sendUnpaced(turn);
     }
     void enqueue(const turn_state &turn)
     {
         const auto urgency = turn.isEnding ? write_urgency::End : write_urgency::Begin;
         m_queues.at(turn.number % daemons)
-            .add(turn.number, writeOf(std::to_string(turn.number), urgency), at(turn.givenUpAt));
+            .add(turn.number, writeOf(std::to_string(turn.number), urgency), at(turn.expiresAt));
     }
-    void callAlone(turn_state &turn)
+    void sendUnpaced(turn_state &turn)
     {
-        if (m_now >= turn.givenUpAt)
+        if (m_now >= turn.expiresAt)
             return;
-        if (m_store.takes()) {
-            m_later[m_now + answerMs].push_back({turn.number, true});
+        if (m_store.accept()) {
+            m_events[m_now + answerMs].push_back({turn.number, true});
             return;
         }
-        m_later[m_now + turn.pauseMs].push_back({turn.number, false});
+        m_events[m_now + turn.pauseMs].push_back({turn.number, false});
         turn.pauseMs *= 2;
     }
-    void callTogether(write_queue &queue, const write_batch &batch)
+    void sendBatch(write_queue &queue, const write_batch &batch)
     {
-        const bool isDone = m_store.takes();
+        const bool isDone = m_store.accept();
         if (isDone)
             queue.onDone(at(m_now));
         else
@@ -147,33 +150,33 @@
         for (const std::uint64_t number : batch.members) {
             turn_state &turn = m_turns.at(number);
             if (isDone)
-                m_later[m_now + answerMs].push_back({turn.number, true});
-            else if (m_now < turn.givenUpAt)
+                m_events[m_now + answerMs].push_back({turn.number, true});
+            else if (m_now < turn.expiresAt)
                 enqueue(turn);
         }
     }
     void step()
     {
-        for (const happening &h : std::exchange(m_later[m_now], {})) {
+        for (const write_event &h : std::exchange(m_events[m_now], {})) {
             turn_state &turn = m_turns.at(h.turn);
-            if (!h.isWritten)
-                callAlone(turn);
+            if (!h.isAnswer)
+                sendUnpaced(turn);
             else if (turn.isEnding)
                 ++done.back();
             else
                 m_ends[m_now + streamMs].push_back(h.turn);
         }
         for (const std::size_t number : std::exchange(m_ends[m_now], {}))
-            want(m_turns.at(number), true);
+            requestWrite(m_turns.at(number), true);
         for (write_queue &queue : m_queues) {
             while (const auto batch = queue.take(at(m_now)))
-                callTogether(queue, *batch);
+                sendBatch(queue, *batch);
         }
     }
     void nextSecond()
     {
         calls.push_back(std::exchange(m_store.calls, 0));
-        asked.push_back(0);
+        requested.push_back(0);
         done.push_back(0);
     }
 
@@ -181,7 +184,7 @@
     limited_store m_store;
     std::array<write_queue, daemons> m_queues;
     std::deque<turn_state> m_turns;
-    std::map<int, std::vector<happening>> m_later;
+    std::map<int, std::vector<write_event>> m_events;
     std::map<int, std::vector<std::size_t>> m_ends;
     int m_now = 0;
     double m_due = 0;
@@ -217,10 +220,10 @@
         for (int i = 0; i < 6; ++i)
             queue.onLimited(at(100 * i));
         REQUIRE(queue.rate() == doctest::Approx(10));
-        queue.add(1, writeOf("a", write_urgency::Upkeep), at(5000));
+        queue.add(1, writeOf("a", write_urgency::Background), at(5000));
         queue.add(2, writeOf("b", write_urgency::Begin), at(5000));
         queue.add(3, writeOf("c", write_urgency::End), at(4000));
-        queue.add(4, writeOf("a", write_urgency::Upkeep), at(5000));
+        queue.add(4, writeOf("a", write_urgency::Background), at(5000));
         CHECK_FALSE(queue.take(at(501)));
 
         SUBCASE("what waited goes together, ends before begins, no row twice")
@@ -235,7 +238,7 @@
         }
         SUBCASE("it says when the next one may go")
         {
-            const auto next = queue.nextAt();
+            const auto next = queue.nextBatchAt();
             REQUIRE(next);
             CHECK_FALSE(queue.take(*next - milliseconds(2)));
             CHECK(queue.take(*next));
@@ -286,7 +289,7 @@
         const overload_replay plain = replay(false);
 
         // In the burst: nearly all are served, where a third was not.
-        const double asked = sum(paced.asked, 4, 10);
+        const double asked = sum(paced.requested, 4, 10);
         CHECK(sum(paced.done, 4, 11) > 0.95 * asked);
         CHECK(sum(plain.done, 4, 11) < 0.8 * asked);
         // Offered calls stay near the rate.
