--- a/src/rows/poll_schedule.cpp
+++ b/src/rows/poll_schedule.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-/// Looks within the bound: a change that this daemon has to read itself leaves time for a second
-/// read if the first fails.
+/// Polls per propagation bound, so that a daemon that has to read a change itself has time for a
+/// second read if the first one fails.
 constexpr double pollsPerBound = 4;
-/// A copy that is older than the bound divided by this is read anew: with the pause to the next
-/// look and a read that takes a second, a change is in force just within a bound of three seconds.
+/// A copy older than the propagation bound divided by this is read again. With the interval to
+/// the next poll and a read that takes one second, a change still takes effect within a bound of
+/// three seconds.
 constexpr double refreshesPerBound = 3;
-/// Daemons that read at one look, on average. Then one of them reads every 62 ms where the bound is
-/// 4 s, and its news is everywhere in four to five rounds of pings.
+/// Expected number of daemons that read per poll interval. With a bound of 4 s, one of them reads
+/// every 62 ms, and gossip spreads what it read to all daemons in four to five ping rounds.
 constexpr double readersPerPoll = 16;
 
 duration fractionOf(duration whole, double count)
--- a/src/rows/poll_schedule.h
+++ b/src/rows/poll_schedule.h
@@ -6,25 +6,28 @@
 
 namespace azurehill {
 
-/// \brief How a daemon follows a table that all daemons read in turns.
+/// \brief Schedule by which a group of daemons polls a table of the store on behalf of each
+/// other.
 struct poll_schedule
 {
-    /// Time within which each daemon must act on a change of the table.
+    /// Upper bound on the time from a change of the table until every daemon acts on it.
     duration propagationBound = seconds(2);
-    /// Daemons that live, this one included.
+    /// Number of live daemons, including this one.
     std::size_t liveDaemons = 1;
 };
 
-/// \returns the time between two looks whether this daemon reads the table.
+/// \returns the time between two calls of isReadDue().
 duration pollInterval(const poll_schedule &schedule);
 
-/// \brief Decides at a look whether this daemon reads the table itself.
+/// \brief Decides whether this daemon reads the table from the store at this poll.
 ///
-/// All daemons together read as often as some would, whatever their number; one whose copy got too
-/// old, since it hears nobody or nobody reaches the store, does so at once. They look at moments of
-/// their own, so all of them falling back are spread over a pause.
-/// \param age how long ago its copy was certainly the table, or nothing before there is one.
-/// \param uniformSample drawn evenly from 0 to 1.
+/// The expected number of reads per poll interval is constant, whatever the number of daemons. A
+/// daemon whose copy is too old, because gossip does not reach it or no daemon reaches the store,
+/// reads at once. The polls of different daemons are not synchronized, so even if all of them
+/// fall back to reading, the reads are spread over one poll interval.
+/// \param age age of its copy: the time since the copy was known to equal the table; empty before
+/// the first copy.
+/// \param uniformSample uniformly distributed random number in [0, 1).
 bool isReadDue(const poll_schedule &schedule, std::optional<duration> age, double uniformSample);
 
 } // namespace azurehill
--- a/src/rows/row.h
+++ b/src/rows/row.h
@@ -11,7 +11,8 @@
 /// \brief Version of a row or of the whole store. 0 is the version of a row that does not exist.
 using store_version = std::uint64_t;
 
-/// \brief Names one row. Rows of one part are written one transaction after the other.
+/// \brief Name of a row. \c part is its partition: the store serializes transactions on one
+/// partition.
 struct row_name
 {
     std::string table;
@@ -26,14 +27,14 @@
     row_name name;
     std::string value;
     store_version version = 0;
-    /// Only in a feed: the row is gone.
+    /// Set only in rows of a change feed: the row was removed.
     bool deleted = false;
-    /// Whether \c value could be decoded. A row that can't be read is there all the same: it must
-    /// count neither as absent nor as empty.
+    /// Whether \c value could be decoded. A row that cannot be decoded still exists: it must be
+    /// treated neither as absent nor as empty.
     bool isReadable = true;
 };
 
-/// \brief A condition of a transaction: the row has this version.
+/// \brief Precondition of a transaction: the row has this version.
 struct row_condition
 {
     row_name name;
@@ -46,13 +47,14 @@
     std::string value;
 };
 
-/// \brief What goes first when not all writes can go.
+/// \brief Priority class of a write, the most urgent first, for when the write rate is limited.
 enum class write_urgency {
-    /// Ends a turn: all work behind it is lost without it, and its client waits for the last byte.
+    /// Ends a turn. Without it the work of the turn is lost, and its client is waiting for the
+    /// last byte of the response.
     End,
-    /// Lets a turn begin.
+    /// Starts a turn.
     Begin,
-    /// Nobody waits for it.
+    /// Maintenance: no client waits for it.
     Background,
 };
 
@@ -62,7 +64,7 @@
     static constexpr std::array<std::string_view, 3> names = {"end", "begin", "upkeep"};
 };
 
-/// \brief Changes that happen together, or not at all when one condition fails.
+/// \brief Atomic transaction: all changes are applied, or none if a condition fails.
 struct store_transaction
 {
     write_urgency urgency = write_urgency::Background;
@@ -71,30 +73,30 @@
     std::vector<row_name> removals;
 };
 
-/// \brief A range of the keys of one part.
+/// \brief Range of keys in one partition.
 struct row_range
 {
     std::string table;
     std::string part;
-    /// First key, or empty for the first of all.
+    /// First key; empty for the first key of the partition.
     std::string from;
-    /// Key after the last, or empty for no bound.
+    /// Exclusive upper bound; empty for none.
     std::string to;
 };
 
-/// \brief Rows and the store's version at the moment they were read.
+/// \brief Rows, with the version of the store at which they were read.
 struct row_page
 {
     std::vector<stored_row> rows;
     store_version version = 0;
 };
 
-/// \brief How a call to the store failed.
+/// \brief Kind of failure of a call to the store.
 ///
-/// Conflict, HistoryGone, Refused and Limited say that nothing was written; Limited, that the calls
-/// of all daemons together are more than the store takes, so that the call may be made again soon.
-/// After Unknown the write may have taken effect, or may take effect seconds later if its
-/// conditions still hold.
+/// Conflict, HistoryGone, Refused and Limited mean that nothing was written. Limited means that
+/// the calls of all daemons together exceed the rate limit of the store, so the call can be
+/// retried soon. After Unknown the write may have taken effect, or may still take effect seconds
+/// later if its conditions hold then.
 enum class store_error_kind { Conflict, HistoryGone, Refused, Limited, Unknown };
 
 template <>
@@ -108,7 +110,7 @@
 {
     store_error_kind kind = store_error_kind::Refused;
     std::string detail;
-    /// Only for Conflict: the rows of the conditions as they are now.
+    /// Only for Conflict: the current rows that the conditions name.
     std::vector<stored_row> current;
 };
 
--- a/src/rows/rows.h
+++ b/src/rows/rows.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Rows of the store and the order in which writes of them go; no input or output.
+/// \brief Rows of the store, cached tables, and the scheduling of writes. Performs no I/O.
 
 #include "rows/poll_schedule.h"
 #include "rows/row.h"
--- a/src/rows/table_cache.cpp
+++ b/src/rows/table_cache.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Rows that are gone are remembered up to this number, or that of the rows that are there; who
-/// missed more takes the table whole.
+/// Tombstones of removed rows are kept up to this number or the number of existing rows,
+/// whichever is larger. A daemon that missed more takes a snapshot of the table.
 constexpr std::size_t minTombstones = 1000;
 
 std::uint64_t hashOf(const std::string &key, store_version version)
@@ -90,7 +90,7 @@
 
 bool table_cache::onFeed(const row_page &page, time_point began)
 {
-    // Another daemon's changes may have come in the meantime.
+    // Changes from another daemon may have advanced this copy in the meantime.
     if (!m_freshAt || page.version < m_version)
         return false;
     const std::uint64_t before = m_hash;
--- a/src/rows/table_changes_codec.cpp
+++ b/src/rows/table_changes_codec.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// Fields of a row, which is an array.
+/// Indices of the fields of a row, which is encoded as an array.
 enum row_field : std::size_t { Key, Value, Version, IsReadable, RowFields };
 
 stored_row rowFromJson(const json::value &value, const std::string &table)
 {
     const json::array &a = value.as_array();
     if (a.size() < RowFields)
-        throw std::out_of_range("a row");
+        throw std::out_of_range("row array has too few fields");
     stored_row row;
     row.name = {table, "", std::string(a[Key].as_string())};
     row.value = std::string(a[Value].as_string());
@@ -63,7 +63,7 @@
         const json::value document = json::parse(text);
         return changesFromJson(document.as_object(), table);
     } catch (const std::exception &) {
-        // The caller reads the table itself.
+        // The caller falls back to reading the table from the store.
         return std::nullopt;
     }
 }
--- a/src/rows/table_digest_json.cpp
+++ b/src/rows/table_digest_json.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// A copy of this age is too old for any use.
+/// Cap on the age of a copy; at this age it is too old for any use.
 constexpr duration maxAge = std::chrono::hours(24);
 
 } // namespace
 
 boost::json::value toJson(const table_digest &digest)
 {
-    // Rounded up: a copy must never seem younger than it is.
+    // Rounded up, so that a copy never appears younger than it is.
     return boost::json::array{digest.version, digest.hash, toMilliseconds(digest.age) + 1};
 }
 
@@ -26,7 +26,7 @@
     digest.hash = value.at(1).to_number<std::uint64_t>();
     const auto ms = value.at(2).to_number<std::int64_t>();
     if (ms < 0)
-        throw std::out_of_range("an age");
+        throw std::out_of_range("negative age");
     digest.age = milliseconds(std::min(ms, toMilliseconds(maxAge)));
     return digest;
 }
--- a/src/rows/table_digest_json.h
+++ b/src/rows/table_digest_json.h
@@ -8,7 +8,7 @@
 
 /// \returns \p digest as an array of numbers: version, hash, age in milliseconds.
 boost::json::value toJson(const table_digest &digest);
-/// \returns the digest in \p value. \throws std::exception when it is none.
+/// \returns the digest parsed from \p value. \throws std::exception if it is malformed.
 table_digest digestFromJson(const boost::json::value &value);
 
 } // namespace azurehill
--- a/src/rows/unreadable_row_log.cpp
+++ b/src/rows/unreadable_row_log.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// Rows remembered, some 100 bytes each. A table with more spoiled rows has its lines told again.
+/// Number of rows remembered, about 100 bytes each. If more rows are corrupt, their log lines
+/// repeat.
 constexpr std::size_t maxLoggedRows = 1000;
 
 } // namespace
--- a/src/rows/unreadable_row_log.h
+++ b/src/rows/unreadable_row_log.h
@@ -8,14 +8,15 @@
 
 namespace azurehill {
 
-/// \brief Tells in the log of rows that can't be read, once for each version of a row.
+/// \brief Logs rows that cannot be decoded, once per version of a row.
 ///
-/// Tables are read again several times a second, and a row that another writer spoiled stays until
-/// somebody mends it: without a memory, each read would fill the log with the same line.
+/// Tables are read several times a second, and a corrupt row stays until an operator repairs it.
+/// Without deduplication, each read would log the same line again.
 class unreadable_row_log
 {
 public:
-    /// \brief Logs \p event with the row's name and version, and \p detail, unless that was done.
+    /// \brief Logs \p event with the row's name and version and \p detail, unless that version
+    /// was already logged.
     void logOnce(log_event event, const stored_row &row, const std::string &detail);
 
 private:
--- a/src/rows/write_queue.cpp
+++ b/src/rows/write_queue.cpp
@@ -7,20 +7,23 @@
 
 namespace {
 
-/// Until the settings say what the store takes.
+/// Writes per second until the configuration gives the rate limit of the store.
 constexpr double defaultWriteRate = 800;
-/// A daemon may save up this much of its time for a burst of its own.
+/// Burst capacity of the token bucket, in seconds of the current rate.
 constexpr double burstSeconds = 0.1;
 constexpr double minBurst = 2;
-/// A refused write halves the rate; without one for a while the rate grows by a fiftieth for each
-/// write. As with TCP's congestion window, daemons that see the same refusals come to equal rates.
+/// Congestion control of the rate: a refused write halves it; after a time without refusals, each
+/// write raises it by a fiftieth. As with TCP's congestion window, daemons that see the same
+/// refusals converge to equal rates.
 constexpr double decreaseFactor = 0.5;
 constexpr double increaseFactor = 1.02;
 constexpr duration recoveryDelay = milliseconds(200);
-/// Writes that go together. One condition that fails sends the others again, and more parts take
-/// longer: of 1, 2, 4 and 8, 62 hosts in a burst served 33, 56, 65 and 42 programs in 100.
+/// Maximum number of writes per transaction. If one condition fails, all the others have to be
+/// retried, and a transaction over more partitions takes longer: with 1, 2, 4 and 8 writes, 62
+/// hosts served 33, 56, 65 and 42 of 100 programs in a burst.
 constexpr std::size_t maxBatchWrites = 4;
-/// What the store takes in one transaction: entries, and bytes less what base64 adds.
+/// Limits of the store per transaction: conditions plus changes, and bytes before base64
+/// encoding.
 constexpr std::size_t maxBatchEntries = 100;
 constexpr std::size_t maxBatchBytes = 700U << 10U;
 
@@ -99,7 +102,8 @@
     if (entriesOf(batch) + entriesOf(t) > maxBatchEntries
         || bytesOf(batch) + bytesOf(t) > maxBatchBytes)
         return false;
-    // Two changes of one row can't be told apart by one condition each.
+    // A row may occur only once in a transaction: with two changes to one row, a failed condition
+    // could not be attributed to either.
     const std::set<row_name> taken = namesOf(batch);
     const std::set<row_name> wanted = namesOf(t);
     return std::none_of(wanted.begin(), wanted.end(),
@@ -111,11 +115,11 @@
     refill(now);
     if (m_waiting.empty() || m_credit < 1)
         return std::nullopt;
-    // Writes share a transaction only while there is not enough credit for one each: together they
-    // take twice as long, and one condition that fails holds up all.
+    // Writes share a transaction only while there is not enough credit to send each alone: a
+    // merged transaction takes twice as long, and one failed condition delays all of its writes.
     const bool isCreditShort = m_mayMerge && m_credit < double(m_waiting.size());
     write_batch batch;
-    // The first is the most urgent one.
+    // The queue is ordered by urgency, so the first write is the most urgent.
     batch.transaction.urgency = std::get<write_urgency>(m_waiting.begin()->first);
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
         const bool isFirst = batch.members.empty();
@@ -146,7 +150,8 @@
 
 void write_queue::onLimited(time_point now)
 {
-    // Writes that were under way together are refused together: they count as one sign.
+    // Writes in flight at the same time are refused together; their refusals count as one
+    // congestion signal.
     constexpr duration refusalWindow = milliseconds(50);
     if (now - m_decreasedAt >= refusalWindow) {
         m_rate = std::max(fairShare(), decreaseFactor * m_rate);
--- a/src/rows/write_queue.h
+++ b/src/rows/write_queue.h
@@ -10,53 +10,58 @@
 
 namespace azurehill {
 
-/// \brief Writes that go to the store in one transaction.
+/// \brief Writes merged into one transaction to the store.
 struct write_batch
 {
-    /// As urgent as the most urgent of them.
+    /// Its urgency is that of the most urgent member.
     store_transaction transaction;
-    /// The writes in it, by their numbers.
+    /// Numbers of the member writes.
     std::vector<std::uint64_t> members;
-    /// When the last of them is given up. A write whose time is nearly over must not cut short the
-    /// call that it shares with others.
+    /// Latest deadline of the members. A write close to its deadline must not abort the call that
+    /// it shares with others.
     time_point deadline;
 };
 
-/// \brief Orders a daemon's writes and paces them to what the store takes.
+/// \brief Priority queue and rate limiter (token bucket with adaptive rate) for a daemon's
+/// writes.
 ///
-/// All daemons share the store's rate of writes; beyond it calls are refused, and refused calls
-/// count as well. Offering all that comes keeps the store at its limit long after a burst, while
-/// clients leave and ask again. So a daemon sends no faster than its rate, which falls to its share
-/// while the store refuses and grows while it does not; what waits then goes together, most urgent
-/// first. While nothing waits, each write goes alone and at once.
+/// All daemons share the write rate limit of the store. Calls beyond it are refused, and refused
+/// calls count against the limit, too. Sending all writes immediately keeps the store at its
+/// limit long after a burst, while clients time out and retry. Therefore a daemon sends no faster
+/// than its current rate, which falls towards its fair share while the store refuses calls and
+/// grows otherwise. Waiting writes are merged into transactions, most urgent first. While no
+/// write waits, each one is sent alone and at once.
 class write_queue
 {
 public:
     write_queue();
 
-    /// \brief Takes in the store's rate for all daemons, and how many daemons live.
+    /// \brief Sets the store's rate limit for all daemons together and the number of live
+    /// daemons.
     void setRates(double writesPerSecond, int daemons);
-    /// \brief Takes in whether writes to several parts may go together.
+    /// \brief Sets whether writes to different partitions may share a transaction.
     void setMerging(bool mayMerge) { m_mayMerge = mayMerge; }
 
-    /// \brief A write wants to go.
+    /// \brief Enqueues a write.
     void add(std::uint64_t number, store_transaction t, time_point deadline);
-    /// \brief The write is given up. \returns whether it had not gone yet.
+    /// \brief Removes a write from the queue. \returns whether it was still queued, that is, not
+    /// sent yet.
     bool withdraw(std::uint64_t number);
-    /// \returns what may go now, or nothing.
+    /// \returns the next batch if the rate permits one at \p now, or nothing.
     std::optional<write_batch> take(time_point now);
-    /// \returns when take() may have something, if anything waits.
+    /// \returns the earliest time at which take() returns a batch, or nothing if the queue is
+    /// empty.
     std::optional<time_point> nextBatchAt() const;
 
-    /// \brief The store refused a write as beyond its rate.
+    /// \brief Handles a call that the store refused with Limited.
     void onLimited(time_point now);
-    /// \brief The store did a write.
+    /// \brief Handles a call that the store executed successfully.
     void onDone(time_point now);
 
-    /// \returns whether the write has not gone yet.
+    /// \returns whether the write is queued, that is, not sent yet.
     bool isWaiting(std::uint64_t number) const { return m_positions.contains(number); }
     std::size_t waiting() const { return m_waiting.size(); }
-    /// \returns the writes a second that go at the most.
+    /// \returns the current limit, in calls per second.
     double rate() const { return m_rate; }
 
 private:
@@ -65,7 +70,7 @@
         store_transaction transaction;
         time_point deadline;
     };
-    /// Most urgent first, then in order of arrival.
+    /// Most urgent first, then by number, which is the order of arrival.
     using queue_position = std::tuple<write_urgency, std::uint64_t>;
 
     double fairShare() const { return m_writesPerSecond / m_daemons; }
@@ -76,7 +81,7 @@
     int m_daemons = 1;
     bool m_mayMerge = true;
     double m_rate;
-    /// Writes that may go at once; below zero after a batch.
+    /// Tokens of the bucket: calls that may be sent at once.
     double m_credit = 1;
     time_point m_filledAt;
     time_point m_limitedAt;
--- a/src/sched/admission_controller.cpp
+++ b/src/sched/admission_controller.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Weight of a new sample in the moving average of a class's latency.
 constexpr double latencySmoothing = 0.05;
 constexpr double minRetrySeconds = 1;
 constexpr double maxRetrySeconds = 20;
@@ -28,7 +29,8 @@
 bool admission_controller::missesDeadline(const program_request &request,
                                           const admission_state &view) const
 {
-    // Without callsPerSlot the past is no reason to refuse: else nobody would get in to change it.
+    // At low load, past latency is no reason to refuse: otherwise no program would be admitted to
+    // update the estimate.
     if (!request.limit || view.callsPerSlot < m_parameters.fairShareCallsPerSlot)
         return false;
     const auto known = m_latency.find(request.programClass);
--- a/src/sched/admission_controller.h
+++ b/src/sched/admission_controller.h
@@ -8,7 +8,7 @@
 
 namespace azurehill {
 
-/// \brief A program that asks to begin.
+/// \brief Request to start a program.
 struct program_request
 {
     program_id program;
@@ -16,24 +16,26 @@
     std::string programClass;
     std::string service;
     double weight = 1;
-    /// Time until its deadline.
+    /// Time until its deadline, if it has one.
     std::optional<duration> limit;
-    /// Largest number of programs that the tenant may have under way.
+    /// Maximum number of concurrent programs of the tenant.
     std::int64_t tenantLimit = 1'000'000;
 };
 
-/// \brief How things stand when a program asks to begin.
+/// \brief Load on which the decision to admit a program is based.
 struct admission_state
 {
-    /// Calls per slot of the service's replicas, those that wait here included.
+    /// Calls per slot of the service's replicas, including those queued at this daemon.
     double callsPerSlot = 0;
     /// See service_ledger::shareExcess().
     double shareExcess = 0;
     int tenantPrograms = 0;
 };
 
-/// \brief Admits or refuses programs. The calls of an admitted program are never refused for load:
-/// half a program helps nobody, so the room is kept for the turns of those that have begun.
+/// \brief Admission controller for programs.
+///
+/// The calls of an admitted program are never refused for load: a half-finished program is wasted
+/// work, so capacity is reserved for the turns of programs that have started.
 class admission_controller
 {
 public:
@@ -42,9 +44,10 @@
     { }
     void setParameters(const scheduler_parameters &parameters) { m_parameters = parameters; }
 
-    /// \returns nothing if the program may begin, or the time after which to ask again.
+    /// \returns nothing if the program is admitted, or the delay after which the caller may
+    /// retry.
     std::optional<duration> refuse(const program_request &request, const admission_state &view);
-    /// \brief Learns how long programs of a class take at present.
+    /// \brief Updates the moving average of the latency of programs of a class.
     void onProgramEnd(const std::string &programClass, duration latency);
 
 private:
--- a/src/sched/call.h
+++ b/src/sched/call.h
@@ -11,12 +11,12 @@
 
 namespace azurehill {
 
-/// \brief A call's number at one scheduler.
+/// \brief Number of a call, unique within one scheduler.
 using call_number = std::uint64_t;
-/// \brief Hash that names the beginning of a prompt.
+/// \brief Hash that identifies a prefix of a prompt.
 using prefix_key = std::uint64_t;
 
-/// \brief A call that waits for a replica or is under way.
+/// \brief A call that is queued or in progress at a replica.
 struct pending_call
 {
     call_number number = 0;
@@ -24,44 +24,45 @@
     tenant_id tenant;
     std::string service;
     std::int64_t promptTokens = 0;
-    /// A beginning that other programs use as well, such as a club's context; 0 for none.
+    /// Prefix shared with other programs, such as a common context; 0 for none.
     prefix_key sharedPrefix = 0;
     std::int64_t sharedTokens = 0;
     /// Product of the weights of the tenant and the class.
     double weight = 1;
     std::optional<time_point> deadline;
-    /// A replica that failed the call before, or an empty id.
+    /// Replica at which the call failed before; empty for none.
     upstream_id excludedReplica;
 };
 
-/// \brief How a call ended, as far as the choice of replicas is concerned.
+/// \brief Result of a call, with what the scheduler needs to know of it.
 struct call_result
 {
-    /// Nothing for a good end.
+    /// Empty if the call succeeded.
     std::optional<outcome> failed;
-    /// Tokens of the prompt that the engine had in its cache, if it said so.
+    /// Prompt tokens that the engine had in its prefix cache, if it reported them.
     std::optional<std::int64_t> cachedTokens;
     std::int64_t outputTokens = 0;
-    /// The replica said that it is leaving.
+    /// The replica refused the call because it is shutting down.
     bool refusedAsLeaving = false;
 };
 
-/// \brief Send the call to \a replica now.
+/// \brief Action: send the call to \a replica now.
 struct dispatch_call
 {
     call_number number = 0;
     upstream_id replica;
-    /// The engine serves lower numbers first: milliseconds of the scheduler's own order.
+    /// The engine serves lower values first. This is the queue order of the scheduler in
+    /// milliseconds.
     std::int64_t priority = 0;
 };
-/// \brief Answer the caller now: the call did not run.
+/// \brief Action: respond to the caller now that the call did not run.
 struct refuse_call
 {
     call_number number = 0;
     refusal_reason reason = refusal_reason::Overloaded;
     duration retryAfter = seconds(1);
 };
-/// \brief Let the engine drop what it cached for an ended program.
+/// \brief Action: tell the engine to drop the cached prefix of a program that has ended.
 struct release_prefix
 {
     upstream_id replica;
--- a/src/sched/call_queue.h
+++ b/src/sched/call_queue.h
@@ -6,10 +6,11 @@
 
 namespace azurehill {
 
-/// \brief Calls that wait for room, in the order in which they are to go.
+/// \brief Queue of calls that wait for capacity at a replica, in dispatch order.
 ///
-/// The order is a time: when the call came, later by the service that its program had. A call that
-/// waits is overtaken only by calls with less service that come soon after it, so none starves.
+/// The order is the arrival time of the call plus a delay proportional to the service that its
+/// program has attained. A queued call is overtaken only by calls of programs with less service
+/// that arrive soon after it, so none starves.
 class call_queue
 {
 public:
--- a/src/sched/prefix_map.cpp
+++ b/src/sched/prefix_map.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Share of the entries from before a gap that are taken to be still there.
+/// Estimated fraction of entries that are still cached after a gap in the event sequence.
 constexpr double confidenceAfterGap = 0.7;
-/// Only the replicas used last are remembered for a prefix.
+/// Number of most recently used replicas remembered per prefix.
 constexpr std::size_t maxHolders = 8;
 
 } // namespace
--- a/src/sched/prefix_map.h
+++ b/src/sched/prefix_map.h
@@ -8,16 +8,18 @@
 
 namespace azurehill {
 
-/// \brief Engine's notice that it dropped a prefix. Some of them get lost.
+/// \brief Notification from an engine that it evicted a prefix. Delivery is not reliable.
 struct cache_event
 {
-    /// Counts the events of a replica, so that a gap shows.
+    /// Sequence number of the event at its replica, to detect lost events.
     std::uint64_t sequence = 0;
     prefix_key prefix = 0;
 };
 
-/// \brief Which replicas probably hold which prefixes: what this daemon sent there, corrected by
-/// cache events and by the cached tokens that answers report.
+/// \brief Estimate of which replicas have which prompt prefixes cached.
+///
+/// It is based on the calls that this daemon sent, corrected by cache events and by the number of
+/// cached tokens that responses report.
 class prefix_map
 {
 public:
@@ -28,24 +30,24 @@
         time_point usedAt;
     };
 
-    /// \brief The replica holds \p tokens of the prefix from now on.
+    /// \brief Records that the replica has \p tokens of the prefix cached.
     void set(prefix_key prefix, replica_index replica, std::int64_t tokens, time_point now);
     void drop(prefix_key prefix, replica_index replica);
     void onEvent(replica_index replica, const cache_event &event, time_point now);
-    /// \brief Forgets the prefix everywhere. \returns the replicas that held it.
+    /// \brief Removes the prefix from all replicas. \returns the replicas that had it cached.
     std::vector<replica_index> release(prefix_key prefix);
-    /// \brief Forgets what was not used for \p age.
+    /// \brief Removes entries that were not used for \p age.
     void expire(duration age, time_point now);
 
     const std::vector<holder> &holders(prefix_key prefix) const;
-    /// \returns tokens of the prefix that the replica should have cached, on average.
+    /// \returns the expected number of tokens of the prefix that the replica has cached.
     double expected(prefix_key prefix, replica_index replica) const;
 
 private:
     struct event_state
     {
         std::uint64_t last = 0;
-        /// Entries not used since then may have been dropped by an event that got lost.
+        /// Entries last used before this time may have been evicted by an event that was lost.
         time_point uncertainBefore;
     };
 
--- a/src/sched/replica.h
+++ b/src/sched/replica.h
@@ -8,16 +8,16 @@
 
 namespace azurehill {
 
-/// \brief One upstream process as a daemon knows it.
+/// \brief An upstream process, as known to this daemon.
 struct replica
 {
     upstream_id id;
-    /// The configured service that it belongs to.
+    /// Configured service to which it belongs.
     std::string service;
     data_centre_id dataCentre;
     std::string address;
     bool leaving = false;
-    /// Calls of this daemon that are under way there.
+    /// Calls of this daemon in progress at the replica.
     int outstanding = 0;
 };
 
--- a/src/sched/replica_health.cpp
+++ b/src/sched/replica_health.cpp
@@ -20,13 +20,14 @@
 
 void replica_health::sample(health &h, double slowness)
 {
-    // What counts as typical may be far from 1: a new replica begins there, not as an outlier.
+    // The typical slowness may be far from 1. A new replica starts at the typical value, so that
+    // it is not taken for an outlier.
     if (!h.known)
         h.slowness = m_typicalSlowness;
     h.known = true;
     h.slowness += sampleSmoothing * (slowness - h.slowness);
     ++h.samples;
-    // One slow replica must not move what counts as typical.
+    // Samples are capped so that one slow replica does not shift the typical slowness.
     m_typicalSlowness
         += typicalSmoothing * (std::min(slowness, 2 * m_typicalSlowness) - m_typicalSlowness);
 }
@@ -111,7 +112,8 @@
     const auto it = m_health.find(index);
     if (it == m_health.end() || !it->second.known)
         return 1;
-    // Part of the slowness of all is in the estimates; only the difference to peers matters.
+    // The slowness common to all replicas comes from errors of the estimates; only the ratio to
+    // the peers matters.
     return std::clamp(it->second.slowness / m_typicalSlowness, 0.5, 20.0);
 }
 
--- a/src/sched/replica_health.h
+++ b/src/sched/replica_health.h
@@ -6,7 +6,7 @@
 
 namespace azurehill {
 
-/// \brief How far a replica is trusted with work.
+/// \brief State of the circuit breaker of a replica.
 enum class circuit_state { Closed, Open, HalfOpen };
 
 template <>
@@ -15,39 +15,40 @@
     static constexpr std::array<std::string_view, 3> names = {"closed", "open", "returning"};
 };
 
-/// \brief Circuit breakers and slowness of the replicas.
+/// \brief Circuit breaker and outlier ejection for the replicas.
 ///
-/// Slowness is the time that calls took as a multiple of the estimate. A replica much slower than
-/// its peers, or one that fails several calls in a row, gets no work for a while. It then returns
-/// with one call at a time, and is charged less and less above its peers with every good one.
+/// Slowness is the duration of calls as a multiple of the estimate. A replica that is much slower
+/// than its peers, or that fails several calls in a row, is ejected for a time. It then becomes
+/// half-open and gets one probe call at a time; each successful call lowers its slowness towards
+/// that of its peers.
 class replica_health
 {
 public:
     void onSuccess(replica_index index, double slowness, time_point now);
     void onFailure(replica_index index, time_point now);
-    /// \brief A call that is under way has taken \p slowness times its estimate already.
+    /// \brief A call still in progress has already taken \p slowness times its estimate.
     void onOverdue(replica_index index, double slowness, time_point now);
-    /// \brief A call was sent to the replica.
+    /// \brief Records that a call was sent to the replica.
     void onSent(replica_index index, time_point now);
 
-    /// \returns whether the replica may be given a call at \p now.
+    /// \returns whether the circuit breaker permits a call to the replica at \p now.
     bool mayReceiveCall(replica_index index, time_point now) const;
     circuit_state state(replica_index index, time_point now) const;
-    /// \returns the factor on estimates for this replica, relative to its peers.
+    /// \returns the factor to apply to estimates for this replica, relative to its peers.
     double slowness(replica_index index) const;
 
 private:
     struct health
     {
         double slowness = 1;
-        /// Whether a sample has set the slowness.
+        /// Whether there has been a sample of the slowness.
         bool known = false;
         int samples = 0;
         int failuresInRow = 0;
         int ejections = 0;
         time_point openUntil;
         time_point probedAt;
-        /// Good calls that are still wanted before the replica is trusted as before.
+        /// Successful calls still needed to close the circuit.
         int successesNeeded = 0;
     };
 
--- a/src/sched/replica_table.cpp
+++ b/src/sched/replica_table.cpp
@@ -15,7 +15,8 @@
             m_entries.emplace_back();
         entry &e = m_entries[it->second];
         const int outstanding = e.listed.outstanding;
-        // A host that was started again under its name has not said that it leaves.
+        // A new address under the same id is a restarted host, which has not reported that it is
+        // leaving.
         if (e.listed.address != r.address)
             e.reportedLeaving = false;
         e.listed = r;
@@ -62,8 +63,8 @@
 void replica_table::change(entry &e, int calls, std::int64_t prefillTokens, time_point now)
 {
     e.listed.outstanding += calls;
-    // A replica that never reports is judged by this daemon's work alone, without a list that
-    // grows.
+    // For a replica that never sends reports, only this daemon's own load counts; recording
+    // changes would grow the list without bound.
     if (e.report.takenAt == time_point())
         return;
     e.changes.push_back({now, calls, prefillTokens});
@@ -85,7 +86,7 @@
     entry &e = m_entries[index];
     e.ownTokens -= promptTokens;
     e.ownPrefill -= prefillTokens;
-    // A report taken after the call was sent shows what was left of its prefill by then.
+    // A report taken after the call was sent already includes the rest of its prefill.
     change(e, -1, sentAt > e.report.takenAt ? -prefillTokens : 0, now);
 }
 
--- a/src/sched/replica_table.h
+++ b/src/sched/replica_table.h
@@ -12,25 +12,27 @@
 
 namespace azurehill {
 
-/// \brief Index of a replica in the table. It is never used again for another replica.
+/// \brief Index of a replica in the table. It is never reused for another replica.
 using replica_index = std::uint32_t;
 constexpr replica_index noReplica = std::numeric_limits<replica_index>::max();
 
-/// \brief The replicas of one service, by distance.
+/// \brief The available replicas of one service, in this daemon's data centre (near) and in
+/// others (far).
 struct replica_group
 {
     std::vector<replica_index> near;
     std::vector<replica_index> far;
 };
 
-/// \brief Load of a replica as far as this daemon can tell.
+/// \brief Estimated load of a replica.
 struct load_estimate
 {
     double calls = 0;
     double prefillTokens = 0;
 };
 
-/// \brief Replicas with the last load report and this daemon's own work on top of it.
+/// \brief Replicas with their last load reports, each corrected by the calls that this daemon
+/// sent or finished since.
 class replica_table
 {
 public:
@@ -38,32 +40,33 @@
         : m_localDataCentre(std::move(localDataCentre))
     { }
 
-    /// \brief Takes in the replicas that the platform lists now.
+    /// \brief Sets the current list of replicas from the platform.
     void setReplicas(const std::vector<replica> &listed);
-    /// \brief Stops new work for a replica that says itself that it leaves, before the list does.
+    /// \brief Stops sending calls to a replica that reported its own shutdown, before the list
+    /// shows it.
     void setLeaving(replica_index index);
     void onReport(const upstream_id &id, const load_report &report);
 
     void onSent(replica_index index, std::int64_t promptTokens, std::int64_t prefillTokens,
                 time_point now);
-    /// \param sentAt when the call was given to onSent().
+    /// \param sentAt the time passed to onSent() for this call.
     void onDone(replica_index index, std::int64_t promptTokens, std::int64_t prefillTokens,
                 time_point sentAt, time_point now);
 
     replica_index find(const upstream_id &id) const;
     const replica &at(replica_index index) const { return m_entries[index].listed; }
-    /// \returns whether the replica may be given work.
+    /// \returns whether the replica is listed and not leaving.
     bool isAvailable(replica_index index) const;
     load_estimate load(replica_index index) const;
-    /// \returns prompt tokens of this daemon's calls that are under way there.
+    /// \returns the prompt tokens of this daemon's calls in progress at the replica.
     std::int64_t ownTokens(replica_index index) const { return m_entries[index].ownTokens; }
-    /// \returns the replicas of \p service that may be given work.
+    /// \returns the available replicas of \p service.
     const replica_group &group(std::string_view service) const;
     std::vector<replica> list() const;
     const data_centre_id &here() const { return m_localDataCentre; }
 
 private:
-    /// \brief A change by this daemon that the last report may not show yet.
+    /// \brief A change of load by this daemon that the last report may not include.
     struct local_change
     {
         time_point at;
--- a/src/sched/retry_budget.h
+++ b/src/sched/retry_budget.h
@@ -7,8 +7,9 @@
 
 namespace azurehill {
 
-/// \brief Keeps retries a small share of the traffic, so that they can't grow a fault into an
-/// overload: every call earns a part of a token, every retry costs a whole one.
+/// \brief Retry budget: a token bucket that limits retries to a small ratio of the calls, so that
+/// they cannot amplify a fault into an overload. Every call adds a fraction of a token; every
+/// retry costs one token.
 class retry_budget
 {
 public:
@@ -18,9 +19,9 @@
 
     void setShare(double share) { m_share = share; }
     void onCall();
-    /// \brief Takes a token for a retry, if the call may be repeated at all.
-    /// \param attempt how many times the call has been sent.
-    /// \returns the delay before the retry, or nothing when there is to be none.
+    /// \brief Takes a token for a retry, if the call is safe to repeat.
+    /// \param attempt number of times the call has been sent.
+    /// \returns the delay before the retry, or nothing if the call must not be retried.
     std::optional<duration> take(outcome ended, bool idempotent, int attempt);
 
 private:
--- a/src/sched/router.cpp
+++ b/src/sched/router.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-/// Candidates drawn by chance in a large group. Few are as good as all of them (two choices do
-/// most of it), and they keep the daemons from all picking the one replica that looks best.
+/// Number of random candidates drawn from a large group. A few are nearly as good as all (the power
+/// of two choices), and sampling keeps the daemons from all picking the same replica, the one that
+/// looks best.
 constexpr std::size_t maxNearCandidates = 12;
 constexpr std::size_t maxFarCandidates = 12;
-/// Calls beyond the slots of a batch wait for about this many tokens of a call before them.
+/// Calls beyond the slots of the batch wait for about this many output tokens of each call ahead
+/// of them.
 constexpr double tokensPerWaitingCall = 200;
 
 } // namespace
--- a/src/sched/router.h
+++ b/src/sched/router.h
@@ -10,17 +10,18 @@
 
 namespace azurehill {
 
-/// \brief Where a call goes and what is expected there.
+/// \brief Selected replica for a call, with the estimated cost there.
 struct route
 {
     replica_index replica = noReplica;
-    /// Prompt tokens that the replica has to compute.
+    /// Prompt tokens that the replica has to prefill.
     std::int64_t prefillTokens = 0;
-    /// Expected time until the call ends there.
+    /// Expected time until the call completes there.
     double seconds = 0;
 };
 
-/// \brief Chooses the replica where a call is expected to end first.
+/// \brief Selects the candidate replica with the lowest estimated cost for a call: mainly the
+/// expected time until it completes there.
 class router
 {
 public:
@@ -29,8 +30,8 @@
     { }
     void setParameters(const scheduler_parameters &parameters) { m_parameters = parameters; }
 
-    /// \param excluded a replica not to choose, after a failure there.
-    /// \returns the route, or nothing when no replica of the service may take a call.
+    /// \param excluded a replica that must not be chosen, after a failure there.
+    /// \returns the route, or nothing if no replica of the service may receive a call.
     std::optional<route> choose(const pending_call &call, double expectedOutput,
                                 const replica_table &table, const prefix_map &prefixes,
                                 const replica_health &health, time_point now,
--- a/src/sched/sched.h
+++ b/src/sched/sched.h
@@ -1,6 +1,6 @@
 #pragma once
 
 /// \file
-/// \brief Decisions under load: which call goes next, to which replica, or is refused.
+/// \brief Scheduling: admission of programs, order of calls, choice of replicas, and retries.
 
 #include "sched/scheduler.h"
--- a/src/sched/scheduler.cpp
+++ b/src/sched/scheduler.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Calls looked at when room comes free. Those behind them wait for the next time.
+/// Number of queued calls examined each time capacity may have become free; the rest wait for the
+/// next time.
 constexpr int maxQueueScan = 32;
 constexpr std::size_t loadSample = 32;
 constexpr duration prefixAge = seconds(600);
@@ -53,7 +54,8 @@
     const std::size_t count = group.near.size() + group.far.size();
     if (count == 0)
         return 0;
-    // An even sample: a look at thousands of replicas would cost more than it tells.
+    // Samples evenly spaced replicas: visiting thousands of them would cost more than the
+    // accuracy is worth.
     const std::size_t step = std::max<std::size_t>(1, count / loadSample);
     double calls = 0;
     std::size_t sampled = 0;
@@ -229,7 +231,7 @@
     if (end.refusedAsLeaving)
         m_table.setLeaving(index);
     if (end.failed) {
-        // A refusal for leaving is no fault of the replica's.
+        // Refusing a call during shutdown is not a failure of the replica.
         if (!end.refusedAsLeaving)
             m_health.onFailure(index, now);
         m_prefixes.drop(prefix, index);
@@ -251,8 +253,8 @@
 
 void scheduler::ejectOverdue(time_point now)
 {
-    // A replica that became slow shows it at the ends of its calls, far too late. Several calls
-    // that should have ended long ago show it at once; a single one may just have a long answer.
+    // The end of its calls would reveal a slow replica far too late. Several calls that are long
+    // overdue reveal it at once; a single one may just have a long response.
     std::unordered_map<replica_index, std::pair<int, double>> overdue;
     for (const auto &[number, sent] : m_sent) {
         const double slowness
--- a/src/sched/scheduler.h
+++ b/src/sched/scheduler.h
@@ -13,10 +13,11 @@
 
 namespace azurehill {
 
-/// \brief Decides which call goes next, to which replica, and which programs may begin.
+/// \brief Scheduler: admits programs, orders calls and chooses a replica for each.
 ///
-/// Events and the time go in, actions come out of takeActions(). Nothing blocks. The owner calls
-/// onTick() a few times a second.
+/// It is a state machine that performs no I/O: the owner passes in events with the current time,
+/// executes the actions that takeActions() returns, and calls onTick() several times a second. No
+/// call blocks.
 class scheduler
 {
 public:
@@ -27,34 +28,37 @@
     void onReport(const upstream_id &id, const load_report &report, time_point now);
     void onCacheEvent(const upstream_id &id, const cache_event &event, time_point now);
 
-    /// \brief Asks for a program to begin. \returns nothing if it may, or when to ask again.
+    /// \brief Decides on the admission of a program.
+    /// \returns nothing if it is admitted, or the delay after which the caller may retry.
     std::optional<duration> refuseProgram(const program_request &request, time_point now);
-    /// \brief A program is under way here: admitted, or taken over from another daemon.
+    /// \brief Registers a running program, admitted here or taken over from another daemon.
     void startProgram(const program_request &request, time_point now);
     void endProgram(const program_id &id, time_point now);
 
-    /// \brief Gives a call that is to be dispatched or refused.
+    /// \brief Submits a call, which will be dispatched or refused.
     void submit(pending_call call, time_point now);
-    /// \brief Takes back a call that waits or was dispatched, but is not going to be sent.
+    /// \brief Cancels a call that is queued, or was dispatched but will not be sent.
     void cancel(call_number number, time_point now);
-    /// \brief Moves a call that did not run to another replica, if the retry budget allows.
-    /// \returns the other replica.
+    /// \brief Reroutes a call that did not run to another replica, if the retry budget permits.
+    /// \returns the new replica, or nothing.
     std::optional<upstream_id> reroute(call_number number, time_point now);
     void onEnd(call_number number, const call_result &end, time_point now);
-    /// \brief Asks whether a call that ended badly may be sent again. \returns after which delay.
+    /// \brief Decides whether a failed call may be retried.
+    /// \returns the delay before the retry, or nothing.
     std::optional<duration> retryAfter(outcome ended, bool idempotent, int attempt);
     void onTick(time_point now);
 
-    /// \returns what is to be done since it was asked last, in order.
+    /// \returns the actions since the last call, in order.
     std::vector<sched_action> takeActions();
 
-    /// \brief Takes over what a new preset says.
+    /// \brief Applies the parameters of a new preset.
     void setParameters(const scheduler_parameters &parameters);
-    /// \brief Ends the programs for which \p isUnderWay says no, such as those that moved away.
+    /// \brief Ends the programs for which \p isUnderWay returns false, such as those that moved
+    /// to another daemon.
     void retainPrograms(const std::function<bool(const program_id &)> &isUnderWay, time_point now);
     std::optional<replica> findReplica(const upstream_id &id) const;
     std::vector<replica> replicas() const { return m_table.list(); }
-    /// \returns calls per slot on the replicas of \p service, with the calls that wait here.
+    /// \returns the calls per slot of the replicas of \p service, including those queued here.
     double callsPerSlot(std::string_view service) const;
     std::size_t queued() const { return m_queue.size(); }
 
--- a/src/sched/scheduler_parameters.h
+++ b/src/sched/scheduler_parameters.h
@@ -6,34 +6,40 @@
 
 namespace azurehill {
 
-/// \brief What the presets and the bench may turn. docs/SCHEDULING.md says how each was set.
+/// \brief Tunable parameters of the scheduler, set by presets and by the bench.
+/// docs/SCHEDULING.md documents their values.
 struct scheduler_parameters
 {
-    /// Engine rates that estimates start from; each replica's slowness is learnt.
+    /// Nominal engine rates for estimates; each replica's deviation from them is measured as its
+    /// slowness.
     double prefillTokensPerSecond = 6000;
     double secondsPerOutputToken = 0.02;
     int slotsPerReplica = 16;
 
-    /// Calls that may wait at an engine on top of those in its batch.
+    /// Maximum number of calls queued at an engine in addition to those in its batch.
     int maxEngineQueue = 4;
     std::int64_t tokensInFlightPerReplica = 200'000;
-    /// Weight of prefill against waiting: prefill delays the others on the replica, too.
+    /// Weight of prefill time relative to waiting time: prefill also delays the other calls on
+    /// the replica.
     double prefillWeight = 24;
-    /// Width of the random factor on costs that keeps daemons from herding on one late report.
+    /// Range of the random factor on costs that keeps daemons from herding to the same replica on
+    /// a stale load report.
     double costJitter = 0.5;
-    /// Extra cost of another data centre.
+    /// Cost added for a replica in another data centre.
     duration remotePenalty = milliseconds(3);
 
-    /// Seconds that a call goes back in the order for each second of service of its program.
+    /// Seconds by which a call moves back in the queue for each second of service that its
+    /// program has attained.
     double delayPerServiceSecond = 20;
 
-    /// Calls per slot from which new programs are refused.
+    /// Calls per slot above which all new programs are refused.
     double maxCallsPerSlot = 1.0;
-    /// Calls per slot from which tenants above their share are refused.
+    /// Calls per slot above which new programs of tenants above their fair share are refused.
     double fairShareCallsPerSlot = 0.45;
-    /// Part of the recent service above its share from which a tenant counts as such.
+    /// Fraction of the recent service by which a tenant may exceed its fair share before it
+    /// counts as above it.
     double shareExcessTolerance = 0.15;
-    /// Retries as a share of the calls.
+    /// Maximum ratio of retries to calls.
     double retryRatio = 0.1;
 };
 
--- a/src/sched/service_ledger.cpp
+++ b/src/sched/service_ledger.cpp
@@ -7,9 +7,11 @@
 
 namespace {
 
+/// Time constant of the exponential decay of recent service.
 constexpr double usageDecaySeconds = 30;
 constexpr double outputSmoothing = 0.02;
-/// Less recent service than this is no sign of a tenant that takes part in the contention.
+/// A tenant with less recent service than this, in seconds, and no running program does not
+/// compete for capacity.
 constexpr double minActiveUsage = 0.05;
 
 } // namespace
--- a/src/sched/service_ledger.h
+++ b/src/sched/service_ledger.h
@@ -7,7 +7,7 @@
 
 namespace azurehill {
 
-/// \brief Service that programs and tenants have had, in seconds of one replica.
+/// \brief Accounting of the service that programs and tenants have received, in replica seconds.
 class service_ledger
 {
 public:
@@ -16,17 +16,19 @@
 
     void startProgram(const program_id &id, const tenant_id &tenant, double weight);
     void endProgram(const program_id &id);
-    /// \brief Charges a call to its program_tree and its tenant.
+    /// \brief Charges a call to its program tree, a root program with its sub-agents, and to its
+    /// tenant.
     void charge(const pending_call &call, std::int64_t prefillTokens, std::int64_t outputTokens,
                 time_point now);
 
-    /// \returns service of the program_tree of \p id so far.
+    /// \returns the service attained by the program tree of \p id.
     double attainedService(const program_id &id) const;
-    /// \returns by how much the tenant's part of the recent service exceeds its share, 0 to 1.
+    /// \returns by how much the tenant's fraction of the recent service exceeds its fair share, 0
+    /// to 1.
     double shareExcess(const tenant_id &tenant, time_point now) const;
-    /// \returns programs of the tenant that are under way here.
+    /// \returns the number of running programs of the tenant at this daemon.
     int programs(const tenant_id &tenant) const;
-    /// \returns output tokens that the next call of \p id may be expected to give.
+    /// \returns the expected number of output tokens of the next call of \p id.
     double expectedOutput(const program_id &id) const;
 
 private:
--- a/src/store/paced_store.cpp
+++ b/src/store/paced_store.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Pause before a read that was refused as beyond the store's rate is made again. Reads are three
-/// times as many as writes there, so this is rare.
+/// Delay before retrying a read that the store refused with Limited. The store's rate limit for
+/// reads is three times that for writes, so this is rare.
 constexpr duration readRetryDelay = milliseconds(30);
 
 store_error queueTimeoutError()
 {
-    return {store_error_kind::Refused, "waited too long for its turn to be written", {}};
+    return {store_error_kind::Refused, "write timed out in the queue before it was sent", {}};
 }
 
 store_error unknownOutcomeError()
@@ -24,7 +24,7 @@
     return {store_error_kind::Unknown, "no answer in time", {}};
 }
 
-/// \returns the rows of \p current that \p t has conditions on.
+/// \returns the rows of \p current that the conditions of \p t name.
 std::vector<stored_row> rowsOf(const store_transaction &t, const std::vector<stored_row> &current)
 {
     std::vector<stored_row> rows;
@@ -37,7 +37,8 @@
     return rows;
 }
 
-/// \returns whether the conditions of \p t hold on \p rows. A row that is not there has version 0.
+/// \returns whether the conditions of \p t hold for \p rows. A row that does not exist has
+/// version 0.
 bool conditionsHold(const store_transaction &t, const std::vector<stored_row> &rows)
 {
     return std::all_of(t.conditions.begin(), t.conditions.end(), [&](const row_condition &c) {
@@ -79,7 +80,8 @@
         co_await pending->deadlineTimer.async_wait(asio::redirect_error(use_awaitable, code));
         if (pending->result || runtime_clock::now() < deadline)
             continue;
-        // Once it went, others may still wait for the call, and this write may take effect.
+        // If the write was already sent, its call goes on, since other writes may share it, and
+        // the write may still take effect.
         const bool isCertain = m_queue.withdraw(number);
         pending->result = tl::unexpected(isCertain ? queueTimeoutError() : unknownOutcomeError());
     }
@@ -126,7 +128,7 @@
     const bool isConflict = !result && result.error().kind == store_error_kind::Conflict;
     for (const std::uint64_t number : batch.members) {
         if (!m_pending.contains(number))
-            continue; // given up meanwhile
+            continue; // timed out in the meantime
         if (isLimited) {
             requeue(number);
             continue;
@@ -135,7 +137,8 @@
             complete(number, result);
             continue;
         }
-        // One condition fails all: those whose own conditions hold go again.
+        // One failed condition fails the whole transaction: writes whose own conditions hold are
+        // retried.
         const store_transaction &own = m_pending.at(number)->transaction;
         const std::vector<stored_row> rows = rowsOf(own, result.error().current);
         if (conditionsHold(own, rows))
--- a/src/store/paced_store.h
+++ b/src/store/paced_store.h
@@ -9,19 +9,21 @@
 
 namespace azurehill {
 
-/// \brief A store whose writes go in the order and at the pace of a write_queue.
+/// \brief Rate-limiting decorator of a store: writes are ordered, merged and paced by a
+/// write_queue.
 ///
-/// A write that the store refuses as beyond its rate was certainly not done: it waits here and goes
-/// again, up to its deadline. A write that is given up before it went is Refused.
+/// A write that the store refuses with Limited had no effect, so it is queued again and retried
+/// until its deadline. A write whose deadline passes while it is queued fails with Refused.
 class paced_store : public store
 {
 public:
-    /// \param inner makes the calls; it outlives this object.
+    /// \param inner store that executes the calls; it must outlive this object.
     paced_store(asio::any_io_executor executor, store &inner, const mechanism_set &mechanisms = {});
 
-    /// \brief Takes in the store's rate of writes for all daemons, and how many daemons live.
+    /// \brief Sets the store's write rate limit for all daemons together and the number of live
+    /// daemons.
     void setRates(double writesPerSecond, int daemons);
-    /// \brief Takes in whether a transaction may span parts.
+    /// \brief Sets whether a transaction may span partitions.
     void setMerging(bool mayMerge) { m_queue.setMerging(mayMerge); }
 
     awaitable<store_result<store_version>> transact(store_transaction t,
@@ -34,7 +36,7 @@
     const write_queue &queue() const { return m_queue; }
 
 private:
-    /// \brief A write whose caller waits.
+    /// \brief A write whose caller is waiting for the result.
     struct pending_write
     {
         pending_write(const asio::any_io_executor &executor, store_transaction t, time_point until)
@@ -47,7 +49,7 @@
     };
     using pending_ptr = std::shared_ptr<pending_write>;
 
-    /// \brief Sends what may go, and sees to it that the rest goes when it may.
+    /// \brief Sends the writes that the rate permits now and schedules a later call for the rest.
     void dispatchWaiting();
     awaitable<void> dispatchWaitingLater();
     awaitable<void> send(write_batch batch);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief The store that everything lasting goes through: versioned rows under tables and parts.
+/// \brief Interface of the persistent store: versioned rows in tables, divided into partitions.
 
 #include "rows/row.h"
 #include "runtime/asio.h"
@@ -15,27 +15,29 @@
 template <class T>
 using store_result = tl::expected<T, store_error>;
 
-/// \brief A client of the store. Used from one thread.
+/// \brief Client of the store. Not thread-safe; used from one thread.
 class store
 {
 public:
     virtual ~store() = default;
 
-    /// \brief Applies \p t by \p deadline. \returns the version that its rows have now.
+    /// \brief Applies \p t before \p deadline. \returns the version that its rows have
+    /// afterwards.
     virtual awaitable<store_result<store_version>> transact(store_transaction t,
                                                             time_point deadline)
         = 0;
     /// \brief Reads all rows of \p range in key order.
     ///
-    /// The store answers with a bounded number of rows at a time. Each answer has the time that the
-    /// first one has until \p deadline, so a read lasts as long as its range is long.
+    /// The store returns a bounded number of rows per response, so a long range takes several
+    /// requests. Each request gets as much time as the first one has until \p deadline; the total
+    /// time grows with the range.
     virtual awaitable<store_result<row_page>> read(row_range range, time_point deadline) = 0;
-    /// \brief Waits up to \p wait for changes of \p table after \p after.
+    /// \brief Long-polls for up to \p wait for changes of \p table after version \p after.
     virtual awaitable<store_result<row_page>> changes(std::string table, store_version after,
                                                       duration wait, time_point deadline)
         = 0;
-    /// \returns whether a call is worth making: the last ones were answered, or none was made for a
-    /// while. It costs no call.
+    /// \returns whether the store is considered reachable: the last calls were answered, or there
+    /// was none for some time. Makes no call.
     virtual bool isReachable() const = 0;
 };
 
--- a/src/store/store_transport.cpp
+++ b/src/store/store_transport.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-/// A connection to the store that went silent is noticed at its next use only; this bounds how old
-/// it can be then.
+/// A dead connection to the store is detected only at its next use; this bounds the time it can
+/// have been idle by then.
 constexpr duration maxIdle = seconds(5);
 constexpr std::size_t maxIdleConnections = 16;
-/// The store's host is a few milliseconds away; a lost opening packet is sent again after a second.
+/// The store's host is a few milliseconds away, and TCP retransmits a lost SYN only after a
+/// second, so the attempt is abandoned before that.
 constexpr duration connectTimeout = milliseconds(400);
 
 } // namespace
--- a/src/store/store_transport.h
+++ b/src/store/store_transport.h
@@ -4,17 +4,17 @@
 
 namespace azurehill {
 
-/// \brief Carries one HTTP exchange to the platform's store.
+/// \brief Transport for HTTP requests to the platform's store.
 class store_transport
 {
 public:
     virtual ~store_transport() = default;
-    /// \param hold time for which the store may keep the call waiting on purpose.
+    /// \param hold time for which the store may hold the request in a long poll.
     virtual awaitable<tl::expected<http_response, http_error>>
     exchange(http_request request, time_point deadline, duration hold) = 0;
 };
 
-/// \brief Speaks to the store on kept connections of its own.
+/// \brief Transport over a pool of persistent connections directly to the store.
 class direct_transport : public store_transport
 {
 public:
--- a/test/io/paced_store_test.cpp
+++ b/test/io/paced_store_test.cpp
@@ -27,7 +27,7 @@
     return t;
 }
 
-/// \brief A paced store, and writes that are wanted at the same moment.
+/// \brief Fixture with a paced store and concurrent writes to it.
 struct paced_store_fixture
 {
     row_store rows;
@@ -36,7 +36,7 @@
     paced_store paced{context.get_executor(), inner};
     std::vector<store_result<store_version>> results;
 
-    /// \brief The store's rate is so low that all but the first wait and go together.
+    /// \brief Sets a rate so low that all writes but the first are queued and merged.
     paced_store_fixture() { paced.setRates(1, 1); }
 
     awaitable<void> write(store_transaction t, duration timeout, std::size_t index)
@@ -50,7 +50,7 @@
         writeAll(writes, std::vector<duration>(writes.size(), timeout));
     }
 
-    /// \param timeouts how long the caller of each write waits.
+    /// \param timeouts time from now to the deadline of each write.
     void writeAll(const std::vector<store_transaction> &writes,
                   const std::vector<duration> &timeouts)
     {
@@ -81,7 +81,7 @@
     TEST_CASE("writes that waited go together, and each gets its own result")
     {
         paced_store_fixture w;
-        // The first two use up what was saved.
+        // The first two writes use up the burst credit.
         const std::vector<store_transaction> writes{put("a", 0), put("b", 0), put("c", 0),
                                                     put("d", 0), put("e", 0)};
 
@@ -95,8 +95,8 @@
         }
         SUBCASE("one whose condition fails holds up no other")
         {
-            // Another daemon had written the account of "d": the programs whose writes shared its
-            // transaction must not be told of a conflict that is not theirs.
+            // Another daemon has written the account of "d". Writes of other programs in the same
+            // transaction must not fail with that conflict.
             store_transaction t;
             t.writes.push_back({rowOf("d"), "another daemon's"});
             static_cast<void>(w.rows.apply(t));
@@ -121,8 +121,9 @@
 
     TEST_CASE("a write whose time is nearly over cuts short no call that it shares")
     {
-        // At its limit the store answered in 300 ms. Each call had a write in it with less time
-        // left, so all were given up and asked again: ends of answers waited for two seconds.
+        // Regression test: at its rate limit the store responded in 300 ms. Each call included a
+        // write with less time left than that, so every call was aborted and retried, and the
+        // final writes of responses took two seconds.
         paced_store_fixture w;
         w.inner.nextFault = [] { return store_fault::Slow; };
         std::vector<store_transaction> writes;
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -35,7 +35,7 @@
     return t;
 }
 
-/// \brief A daemon's ledger on a store that can go silent.
+/// \brief Fixture with a daemon's turn ledger on a store that can become unavailable.
 struct outage_fixture
 {
     void makeUnavailable()
@@ -71,10 +71,11 @@
     {
         SUBCASE("a turn that was refused before it was held leaves no write behind")
         {
-            // The store was away for seven seconds and 3,074 turns were told `store_unavailable`
-            // after 0 to 1 ms. For each of them a write went on being tried, though the store had
-            // said of every call that nothing was done; all of these writes met the store in the
-            // second of its return, together with the turns that came back.
+            // Regression test: the store was unavailable for seven seconds, and 3,074 turns
+            // failed with `store_unavailable` after 0 to 1 ms. For each of them a write was still
+            // being retried, although the store had reported for every call that it had no
+            // effect. All of these writes reached the store in the second of its recovery,
+            // together with the retried turns.
             entry_world w;
             int writes = 0;
             w.store.nextTrouble = [&](std::string_view path) {
@@ -90,8 +91,9 @@
         }
         SUBCASE("a turn waits for its program's account no longer than for the store")
         {
-            // A program came back two seconds after the outage and was told `store_unavailable`
-            // after 11.8 s: the settling of an earlier turn had the program's account all the time.
+            // Regression test: a program retried two seconds after the outage and failed with
+            // `store_unavailable` after 11.8 s, because the settlement of an earlier turn held
+            // the program's account all that time.
             outage_fixture w;
             w.makeUnavailable();
             spawn(w.context.get_executor(), "settle", w.ledger.settleHold(claimFor("t1"), 0));
@@ -111,9 +113,10 @@
         }
         SUBCASE("the end of an answer is written at once when the store answers again")
         {
-            // The store was silent for four seconds. 567 answers were cut off whose end waited for
-            // it, more than 460 of them after it was back: each end slept up to 640 ms, or sat in a
-            // call that the silence had swallowed, and its client left meanwhile.
+            // Regression test: the store did not respond for four seconds. 567 responses were cut
+            // off while their final write waited for it, more than 460 of them after its
+            // recovery: each final write was sleeping for up to 640 ms, or waiting for a call
+            // lost in the outage, until its client disconnected.
             outage_fixture w;
             duration waited{};
             auto story = [&]() -> awaitable<void> {
--- a/test/logic/sched_replica_health_test.cpp
+++ b/test/logic/sched_replica_health_test.cpp
@@ -51,8 +51,9 @@
     }
 }
 
-// All estimates were ten times too long, so calls took a tenth of them. A replica new to the
-// daemon began with a slowness of 1, looked ten times slower than its peers and was ejected.
+// Regression test: all estimates are ten times too long, so calls take a tenth of the estimate. A
+// replica new to the daemon started with a slowness of 1, appeared ten times slower than its
+// peers and was ejected.
 TEST_CASE("A new replica is no outlier where estimates are off for all")
 {
     replica_health health;
--- a/test/logic/sched_router_test.cpp
+++ b/test/logic/sched_router_test.cpp
@@ -53,8 +53,9 @@
     }
 }
 
-// Twenty daemons saw the same report in which one replica was a little less busy than the others.
-// All sent their next call there, and the replica was swamped before the next report.
+// Guards against herding: twenty daemons see the same load report, in which one replica is
+// slightly less busy than the others. If all send their next call there, the replica is
+// overloaded before the next report.
 TEST_CASE("Daemons that share a stale report don't all pick the same replica")
 {
     std::set<replica_index> picked;
--- a/test/logic/sched_scheduler_test.cpp
+++ b/test/logic/sched_scheduler_test.cpp
@@ -89,8 +89,8 @@
     }
 }
 
-// The host list still named a replica that was shutting down. It refused a call; the daemon went on
-// sending it work, and calls that waited for it were refused as well.
+// Regression test: the host list still contained a replica that was shutting down and had refused
+// a call. The daemon kept sending calls to it, and queued calls were refused as well.
 TEST_CASE("A leaving replica gets nothing more at its first sign, and waiting calls move")
 {
     scheduler s(singleSlotParameters(), {"here"}, 1);
@@ -150,8 +150,8 @@
     }
 }
 
-// A replica became ten times slower. Its calls were still running, so no end told of it, and for
-// half a minute it was given as much work as the others.
+// Regression test: a replica became ten times slower. Its calls were still running, so none had
+// ended to show it, and for half a minute it received as many calls as the others.
 TEST_CASE("Overdue calls keep work from a replica that became slow")
 {
     scheduler s({}, {"here"}, 1);
--- a/test/logic/sched_test_support.h
+++ b/test/logic/sched_test_support.h
@@ -27,7 +27,7 @@
     return call;
 }
 
-/// \returns the dispatches among the actions, as number and replica.
+/// \returns the dispatch actions, as pairs of call number and replica.
 inline std::vector<std::pair<call_number, std::string>> dispatched(scheduler &s)
 {
     std::vector<std::pair<call_number, std::string>> result;
--- a/test/logic/store_overload_replay_test.cpp
+++ b/test/logic/store_overload_replay_test.cpp
@@ -20,21 +20,23 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-/// \brief Many daemons on one store, and programs whose turns partly run in parallel.
+/// \brief Simulation of many daemons on one store, with programs that run some of their turns in
+/// parallel.
 ///
-/// Each turn changes its program's account when it begins, under the condition that the account is
-/// as its daemon knows it, and adds a row of its own when it ends, as turn_ledger does. A client
-/// whose turn was refused, or whose end did not come within its gap, asks again from the first
-/// write. Time passes in steps of a millisecond.
+/// As in turn_ledger, each turn updates its program's account row when it begins, on condition
+/// that the row has the version known to its daemon, and inserts a row of its own when it ends. A
+/// client whose turn was refused, or did not end within the client's stall timeout, retries the
+/// turn from its first write. Time advances in steps of one millisecond.
 class parallel_turns_replay
 {
 public:
     static constexpr int daemons = 62;
     static constexpr int callsPerSecond = 1500;
-    /// Clients leave a stream that stands still for this long.
+    /// Clients close a stream that makes no progress for this long.
     static constexpr int clientStallTimeoutMs = 1700;
-    /// Turns of a program at a time, one group after the other: four of eleven have others beside
-    /// them, as 29 to 37 in 100 did in logs of 62 and 87 hosts.
+    /// Number of parallel turns in each group of a program; groups run one after the other. Four
+    /// of eleven turns run in parallel with others, as 29 to 37 in 100 did in the logs of 62 and
+    /// 87 hosts.
     static constexpr std::array<int, 8> turnGroups{1, 1, 1, 4, 1, 1, 1, 1};
     static constexpr int turnsOfProgram = 11;
 
@@ -42,7 +44,7 @@
     {
         for (write_queue &queue : m_queues)
             queue.setRates(callsPerSecond, daemons);
-        // The busiest daemon had three times the turns of the idlest.
+        // The busiest daemon had three times as many turns as the least busy one.
         std::vector<double> weights;
         weights.reserve(daemons);
         for (int i = 0; i < daemons; ++i)
@@ -50,7 +52,7 @@
         m_pick = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
     }
 
-    /// \brief Plays \p seconds in which \p turnsPerSecond are wanted each second.
+    /// \brief Simulates \p seconds with a demand of \p turnsPerSecond.
     void play(int seconds, int turnsPerSecond)
     {
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
@@ -69,15 +71,16 @@
         }
     }
 
-    /// By the second in which programs began: their number, and those that ended in their aim. By
-    /// the second: calls of the store, and those of them that failed for a condition.
+    /// By the second in which programs began: their number, and how many ended within their
+    /// target latency. By second: calls to the store, and how many of them failed because of a
+    /// condition.
     std::vector<int> programs;
     std::vector<int> withinTarget;
     std::vector<int> calls;
     std::vector<int> failed;
-    /// Ends that were not durable within the client's gap.
+    /// Final writes that were not durable within the client's stall timeout.
     int endsLost = 0;
-    /// How long ends waited, in ms.
+    /// Latencies of final writes, in ms.
     std::vector<int> endWaits;
 
 private:
@@ -86,7 +89,8 @@
     static constexpr int storeTimeoutMs = 1500;
     static constexpr int clientRetryDelayMs = 2000;
     static constexpr int maxAttempts = 4;
-    /// 1.3 times what the program takes alone, with 46 ms a turn for the way, and 250 ms.
+    /// Target latency of a program: 1.3 times its latency without load, with 46 ms of transit
+    /// time per turn, plus 250 ms.
     static constexpr int targetMs = 13 * int(turnGroups.size()) * (streamMs + 46) / 10 + 250;
     static constexpr double maxCredit = 40;
 
@@ -96,7 +100,7 @@
         int beganAt = 0;
         std::size_t group = 0;
         int openTurns = 0;
-        /// Of its account.
+        /// Version of its account row.
         int version = 0;
     };
     struct turn_state
@@ -108,7 +112,7 @@
         bool isOpen = false;
         int requestedAt = 0;
         int expiresAt = 0;
-        /// Of the account as this turn's daemon knows it.
+        /// Version of the account row known to this turn's daemon.
         int seenVersion = 0;
     };
     struct answer
@@ -147,7 +151,7 @@
         if (turn.attempts++ == maxAttempts)
             return;
         turn.daemon = m_pick(m_random);
-        // Daemons read the account with the turn that they go on from.
+        // The daemon reads the account together with the turn that this one continues.
         refreshVersion(turn);
         requestWrite(number, false, storeTimeoutMs);
     }
@@ -295,13 +299,14 @@
 
 TEST_SUITE("store overload replay")
 {
-    // 62 hosts on a store of 1,500 writes a second, requests doubled for six seconds. From then on
-    // turns waited 70 to 120 ms for the store before they were sent (18 before the burst; one in
-    // ten 330 to 620 ms), ends 40 ms (14 before; the longest 1,599), and it stayed so for 25 s
-    // after the burst. Four turns in ten had others of their program beside them, on other hosts,
-    // and changed the same account: a third of the store's calls failed for a condition on a calm
-    // second, nearly half from the burst on, and a call that four writes shared sent all four
-    // again.
+    // Regression test: 62 hosts used a store with a limit of 1,500 writes per second, and the
+    // request rate doubled for six seconds. From then on, turns waited 70 to 120 ms for the store
+    // before they were sent (18 ms before the burst; one in ten 330 to 620 ms) and final writes
+    // took 40 ms (14 ms before; at most 1,599 ms). This lasted until 25 s after the burst. Four
+    // turns in ten ran in parallel with others of their program on other hosts and updated the
+    // same account row. A third of the store's calls failed because of a condition in normal
+    // operation, nearly half from the burst on, and after such a failure of a transaction of four
+    // writes all four were retried.
     TEST_CASE("turns of one program in parallel, and a burst beyond the store's rate")
     {
         constexpr int calm = 660;
@@ -323,7 +328,7 @@
         {
             const parallel_turns_replay world = replay(1200);
             CHECK(sum(world.withinTarget, 15, 20) > 0.9 * sum(world.programs, 15, 20));
-            // What has most behind it finishes, though the store still takes begins.
+            // Turns in progress finish, while the store still accepts new turns.
             CHECK(world.endsLost == 0);
             CHECK(*std::max_element(world.endWaits.begin(), world.endWaits.end())
                   < parallel_turns_replay::clientStallTimeoutMs);
--- a/test/logic/table_cache_test.cpp
+++ b/test/logic/table_cache_test.cpp
@@ -68,8 +68,8 @@
 
     TEST_CASE("an older copy never replaces a newer one")
     {
-        // A replica that leaves would come back: a frozen daemon wakes and tells what it read
-        // before.
+        // A suspended daemon resumes and sends the copy it read before. If that replaced a newer
+        // copy, a replica that has left would reappear.
         table_cache own;
         own.onRead(page(20, {row("a", 3)}), at(0));
         table_cache frozen;
@@ -169,7 +169,8 @@
                     RC_ASSERT(areSame(asker, other));
                     return;
                 }
-                // The other has never seen a row that came and went: it can't tell that it is gone.
+                // The other daemon never saw a row that was added and removed between its reads,
+                // so its changes cannot include the removal.
                 RC_ASSERT(areSame(asker, before));
                 asker.onRead(wholePage(), at(ms));
             };
--- a/test/logic/write_queue_test.cpp
+++ b/test/logic/write_queue_test.cpp
@@ -26,7 +26,7 @@
     return t;
 }
 
-/// \brief A store that takes so many calls a second and refuses the rest.
+/// \brief Simulated store that accepts a limited number of calls per second and refuses the rest.
 class limited_store
 {
 public:
@@ -52,23 +52,23 @@
     double m_credit = maxCredit;
 };
 
-/// \brief Daemons whose turns each need a write to begin and one to end, on a store that is short.
-/// Time passes in steps of a millisecond.
+/// \brief Simulation of daemons on an overloaded store. Each turn needs one write when it begins
+/// and one when it ends. Time advances in steps of one millisecond.
 class overload_replay
 {
 public:
     static constexpr int daemons = 13;
     static constexpr int callsPerSecond = 800;
 
-    /// \param isPaced whether the daemons' writes go through queues, or at once with a pause that
-    /// doubles after each refusal.
+    /// \param isPaced whether the daemons' writes pass through write queues, or are sent at once
+    /// and retried with exponential backoff after a refusal.
     explicit overload_replay(bool isPaced) : m_isPaced(isPaced), m_store(callsPerSecond)
     {
         for (write_queue &queue : m_queues)
             queue.setRates(callsPerSecond, daemons);
     }
 
-    /// \brief Plays \p seconds in which \p turnsPerSecond begin each second.
+    /// \brief Simulates \p seconds with \p turnsPerSecond new turns per second.
     void play(int seconds, int turnsPerSecond)
     {
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Turns that began and that ended with their last write done, and calls made, by second.
+    /// Per second: turns requested, turns whose final write succeeded, and calls to the store.
     std::vector<int> requested{0};
     std::vector<int> done{0};
     std::vector<int> calls;
@@ -216,7 +216,7 @@
     {
         write_queue queue;
         queue.setRates(100, 10);
-        // A burst of the daemon's own used up what it had saved, and the store began to refuse.
+        // The daemon has used up its burst credit, and the store has started to refuse calls.
         for (int i = 0; i < 6; ++i)
             queue.onLimited(at(100 * i));
         REQUIRE(queue.rate() == doctest::Approx(10));
@@ -270,9 +270,10 @@
         }
     }
 
-    // At the height of a burst the programs wanted 1.6 times the writes that the store takes. Its
-    // refusals were asked again, which were refused as well; ends of answers waited behind begins,
-    // and a third of the answers that clients had read to their last event never ended.
+    // Regression test: at the peak of a burst, the demand for writes was 1.6 times the store's
+    // rate limit. Refused calls were retried and refused again, and the final writes of responses
+    // waited behind the first writes of new turns. A third of the responses that clients had read
+    // up to their last event never ended.
     TEST_CASE("a burst beyond the store's rate, and what comes after it")
     {
         constexpr int calm = 250;
@@ -288,16 +289,16 @@
         const overload_replay paced = replay(true);
         const overload_replay plain = replay(false);
 
-        // In the burst: nearly all are served, where a third was not.
+        // During the burst nearly all turns are served; without pacing, a third were not.
         const double asked = sum(paced.requested, 4, 10);
         CHECK(sum(paced.done, 4, 11) > 0.95 * asked);
         CHECK(sum(plain.done, 4, 11) < 0.8 * asked);
-        // Offered calls stay near the rate.
+        // The offered calls stay close to the rate limit.
         for (std::size_t second = 5; second < 10; ++second) {
             CHECK(paced.calls.at(second) < 1.25 * callsPerSecond);
             CHECK(plain.calls.at(second) > 1.5 * callsPerSecond);
         }
-        // Two seconds after its end, as before it.
+        // Two seconds after the end of the burst, throughput is as before it.
         CHECK(sum(paced.done, 12, 18) >= 6 * calm - 5);
     }
 }
