--- a/src/rows/row.h
+++ b/src/rows/row.h
@@ -11,12 +11,11 @@
 /// \brief Version of a row or of the whole store. 0 is the version of a row that does not exist.
 using store_version = std::uint64_t;
 
-/// \brief Name of a row. \c part is its partition: the store serializes transactions on one
-/// partition.
+/// \brief Name of a row. The store serializes the transactions on one partition.
 struct row_name
 {
     std::string table;
-    std::string part;
+    std::string partition;
     std::string key;
 
     friend auto operator<=>(const row_name &, const row_name &) = default;
@@ -77,7 +76,7 @@
 struct row_range
 {
     std::string table;
-    std::string part;
+    std::string partition;
     /// First key; empty for the first key of the partition.
     std::string from;
     /// Exclusive upper bound; empty for none.
--- a/src/rows/unreadable_row_log.cpp
+++ b/src/rows/unreadable_row_log.cpp
@@ -20,7 +20,7 @@
     told->second = row.version;
     logDecision(event,
                 {{"table", row.name.table},
-                 {"part", row.name.part},
+                 {"part", row.name.partition},
                  {"key", row.name.key},
                  {"row_version", static_cast<std::int64_t>(row.version)},
                  {"detail", detail}});
--- a/src/sched/replica_table.cpp
+++ b/src/sched/replica_table.cpp
@@ -7,7 +7,7 @@
 void replica_table::setReplicas(const std::vector<replica> &listed)
 {
     for (entry &e : m_entries)
-        e.gone = true;
+        e.isRemoved = true;
     for (const replica &r : listed) {
         const auto [it, added]
             = m_index.try_emplace(r.id, static_cast<replica_index>(m_entries.size()));
@@ -21,7 +21,7 @@
             e.reportedLeaving = false;
         e.listed = r;
         e.listed.outstanding = outstanding;
-        e.gone = false;
+        e.isRemoved = false;
     }
     regroup();
 }
@@ -99,7 +99,7 @@
 bool replica_table::isAvailable(replica_index index) const
 {
     const entry &e = m_entries[index];
-    return !e.gone && !e.reportedLeaving && !e.listed.leaving;
+    return !e.isRemoved && !e.reportedLeaving && !e.listed.leaving;
 }
 
 load_estimate replica_table::load(replica_index index) const
@@ -123,7 +123,7 @@
 {
     std::vector<replica> all;
     for (const entry &e : m_entries) {
-        if (!e.gone)
+        if (!e.isRemoved)
             all.push_back(e.listed);
     }
     return all;
--- a/src/sched/replica_table.h
+++ b/src/sched/replica_table.h
@@ -76,7 +76,7 @@
     struct entry
     {
         replica listed;
-        bool gone = false;
+        bool isRemoved = false;
         bool reportedLeaving = false;
         load_report report;
         std::int64_t ownTokens = 0;
--- a/src/sched/retry_budget.cpp
+++ b/src/sched/retry_budget.cpp
@@ -14,7 +14,7 @@
 
 void retry_budget::onCall()
 {
-    m_tokens = std::min(m_tokens + m_share, maxBudgetTokens);
+    m_tokens = std::min(m_tokens + m_ratio, maxBudgetTokens);
 }
 
 std::optional<duration> retry_budget::take(outcome ended, bool idempotent, int attempt)
--- a/src/sched/retry_budget.h
+++ b/src/sched/retry_budget.h
@@ -14,10 +14,10 @@
 {
 public:
     retry_budget(const scheduler_parameters &parameters, std::uint64_t seed)
-        : m_share(parameters.retryRatio), m_random(seed)
+        : m_ratio(parameters.retryRatio), m_random(seed)
     { }
 
-    void setShare(double share) { m_share = share; }
+    void setRatio(double ratio) { m_ratio = ratio; }
     void onCall();
     /// \brief Takes a token for a retry, if the call is safe to repeat.
     /// \param attempt number of times the call has been sent.
@@ -25,7 +25,7 @@
     std::optional<duration> take(outcome ended, bool idempotent, int attempt);
 
 private:
-    double m_share;
+    double m_ratio;
     double m_tokens = 5;
     std::minstd_rand m_random;
 };
--- a/src/sched/scheduler.cpp
+++ b/src/sched/scheduler.cpp
@@ -159,7 +159,7 @@
     m_router.setParameters(parameters);
     m_ledger.setParameters(parameters);
     m_admission.setParameters(parameters);
-    m_retries.setShare(parameters.retryRatio);
+    m_retries.setRatio(parameters.retryRatio);
 }
 
 void scheduler::retainPrograms(const std::function<bool(const program_id &)> &isUnderWay,
--- a/src/turns/turn_ledger_reads.cpp
+++ b/src/turns/turn_ledger_reads.cpp
@@ -57,7 +57,7 @@
                                                                          time_point deadline)
 {
     const row_name name = turn_rows::index(wanted);
-    row_range range{name.table, name.part, name.key, name.key + '\0'};
+    row_range range{name.table, name.partition, name.key, name.key + '\0'};
     const auto page = co_await m_store.read(std::move(range), deadline);
     if (!page)
         co_return tl::unexpected(page.error());
--- a/standin/row_store.cpp
+++ b/standin/row_store.cpp
@@ -32,7 +32,7 @@
     row_page page;
     page.version = m_version;
     for (const auto &[name, row] : m_rows) {
-        const bool inPart = name.table == range.table && name.part == range.part;
+        const bool inPart = name.table == range.table && name.partition == range.partition;
         if (inPart && name.key >= range.from && (range.to.empty() || name.key < range.to))
             page.rows.push_back(row);
     }
--- a/standin/store_standin.cpp
+++ b/standin/store_standin.cpp
@@ -58,7 +58,7 @@
 {
     json::object o;
     o["table"] = row.name.table;
-    o["part"] = row.name.part;
+    o["part"] = row.name.partition;
     o["key"] = row.name.key;
     o["value"] = toBase64(row.value);
     o["ver"] = row.version;
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -100,7 +100,7 @@
     std::string holder()
     {
         const row_name name = quotaRowName(shardOf(account));
-        const row_page page = rows.read({name.table, name.part, "", ""});
+        const row_page page = rows.read({name.table, name.partition, "", ""});
         const auto row = page.rows.empty() ? std::nullopt : decodeQuotaRow(page.rows[0].value);
         return row && !row->isReleased ? row->holder.value : "";
     }
--- a/test/io/turn_ledger_test.cpp
+++ b/test/io/turn_ledger_test.cpp
@@ -560,7 +560,7 @@
                 co_await w.runUsual(first.ledger, "t3", b);
                 for (const char *id : {"t1", "t2"}) {
                     const row_name piece = turn_rows::firstPiece(program, {id});
-                    row_range range{piece.table, piece.part, piece.key, piece.key + '\0'};
+                    row_range range{piece.table, piece.partition, piece.key, piece.key + '\0'};
                     CHECK(rows.read(range).rows.at(0).version <= before);
                 }
             };
