--- a/src/entry/replica_follower.cpp
+++ b/src/entry/replica_follower.cpp
@@ -272,14 +272,14 @@
     if (!known) {
         logDecision(
             log_event::ReplicaListed,
-            {{"replica", who.id.value}, {"born", who.bornUnixMs}, {"service", entry.service}});
+            {{"replica", who.id.value}, {"born", who.startedUnixMs}, {"service", entry.service}});
         return;
     }
     if (known->incarnation != who) {
         logDecision(log_event::ReplicaRestarted,
                     {{"replica", who.id.value},
-                     {"born", who.bornUnixMs},
-                     {"born_before", known->incarnation.bornUnixMs},
+                     {"born", who.startedUnixMs},
+                     {"born_before", known->incarnation.startedUnixMs},
                      {"was_draining", known->draining}});
     }
     const bool wasDraining = known->incarnation == who && known->draining;
