--- a/bench/bench_policy.cpp
+++ b/bench/bench_policy.cpp
@@ -224,7 +224,7 @@
     scheduler_parameters knobs;
     const std::map<std::string, double scheduler_parameters::*> names
         = {{"prefillWeight", &scheduler_parameters::prefillWeight},
-           {"spread", &scheduler_parameters::spread},
+           {"spread", &scheduler_parameters::costJitter},
            {"orderPerService", &scheduler_parameters::delayPerServiceSecond},
            {"fullPressure", &scheduler_parameters::maxCallsPerSlot},
            {"sharePressure", &scheduler_parameters::fairShareCallsPerSlot},
--- a/src/entry/replica_follower.h
+++ b/src/entry/replica_follower.h
@@ -33,9 +33,9 @@
     /// \brief Reads when it is this daemon's turn. Runs until the program ends.
     awaitable<void> follow();
     /// \brief Takes in how long a leaving replica goes on serving.
-    void setDrain(duration drain) { m_turns.bound = drain; }
+    void setDrain(duration drain) { m_turns.propagationBound = drain; }
     /// \brief Takes in how many daemons live, this one included.
-    void setDaemons(std::size_t count) { m_turns.daemons = std::max<std::size_t>(1, count); }
+    void setDaemons(std::size_t count) { m_turns.liveDaemons = std::max<std::size_t>(1, count); }
 
     /// \brief Another daemon told of its copy. A newer one is asked for in the background.
     void onDigest(const digest_news &news);
--- a/src/rows/poll_schedule.cpp
+++ b/src/rows/poll_schedule.cpp
@@ -4,32 +4,33 @@
 
 namespace {
 
-/// Looks within the bound: a change that this daemon has to read itself leaves time for a second
-/// read if the first fails.
+/// Polls per propagation bound, so that a daemon that has to read a change itself has time for a
+/// second read if the first one fails.
 constexpr double pollsPerBound = 4;
-/// A copy that is older than the bound divided by this is read anew: with the pause to the next
-/// look and a read that takes a second, a change is in force just within a bound of three seconds.
+/// A copy older than the propagation bound divided by this is read again. With the interval to
+/// the next poll and a read that takes one second, a change still takes effect within a bound of
+/// three seconds.
 constexpr double refreshesPerBound = 3;
-/// Daemons that read at one look, on average. Then one of them reads every 62 ms where the bound is
-/// 4 s, and its news is everywhere in four to five rounds of pings.
-constexpr double readers = 16;
+/// Expected number of daemons that read per poll interval. With a bound of 4 s, one of them reads
+/// every 62 ms, and gossip spreads what it read to all daemons in four to five ping rounds.
+constexpr double readersPerPoll = 16;
 
-duration part(duration whole, double count)
+duration fractionOf(duration whole, double count)
 {
     return std::chrono::duration_cast<duration>(whole / count);
 }
 
 } // namespace
 
-duration lookPause(const poll_schedule &turns)
+duration pollInterval(const poll_schedule &schedule)
 {
-    return part(turns.bound, pollsPerBound);
+    return fractionOf(schedule.propagationBound, pollsPerBound);
 }
 
-bool isReadDue(const poll_schedule &turns, std::optional<duration> age, double chance)
+bool isReadDue(const poll_schedule &schedule, std::optional<duration> age, double uniformSample)
 {
-    const bool isTooOld = !age || *age > part(turns.bound, refreshesPerBound);
-    return isTooOld || chance * double(turns.daemons) < readers;
+    const bool isTooOld = !age || *age > fractionOf(schedule.propagationBound, refreshesPerBound);
+    return isTooOld || uniformSample * double(schedule.liveDaemons) < readersPerPoll;
 }
 
 } // namespace azurehill
--- a/src/rows/table_cache.cpp
+++ b/src/rows/table_cache.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Rows that are gone are remembered up to this number, or that of the rows that are there; who
-/// missed more takes the table whole.
+/// Tombstones of removed rows are kept up to this number or the number of existing rows,
+/// whichever is larger. A daemon that missed more takes a snapshot of the table.
 constexpr std::size_t minTombstones = 1000;
 
 std::uint64_t hashOf(const std::string &key, store_version version)
@@ -90,7 +90,7 @@
 
 bool table_cache::onFeed(const row_page &page, time_point began)
 {
-    // Another daemon's changes may have come in the meantime.
+    // Changes from another daemon may have advanced this copy in the meantime.
     if (!m_freshAt || page.version < m_version)
         return false;
     const std::uint64_t before = m_hash;
@@ -121,7 +121,7 @@
     const table_digest &digest = changes.digest;
     if (m_freshAt && digest.version < m_version)
         return false;
-    if (changes.isWhole) {
+    if (changes.isSnapshot) {
         row_map rows;
         std::uint64_t hash = 0;
         for (const stored_row &row : changes.rows) {
@@ -135,7 +135,7 @@
     }
     if (hashAfter(changes) != digest.hash)
         return false;
-    for (const auto &[key, version] : changes.gone)
+    for (const auto &[key, version] : changes.removed)
         removeRow(key, version);
     for (const stored_row &row : changes.rows)
         setRow(row);
@@ -147,7 +147,7 @@
 {
     std::uint64_t hash = m_hash;
     std::map<std::string, std::optional<store_version>> next;
-    for (const auto &[key, version] : changes.gone) {
+    for (const auto &[key, version] : changes.removed) {
         const auto found = m_rows.find(key);
         if (found != m_rows.end() && found->second.version <= version)
             next[key] = std::nullopt;
@@ -175,16 +175,16 @@
 {
     table_changes changes;
     changes.digest = digest(now).value_or(table_digest());
-    changes.isWhole = after < m_tombstonesSince;
+    changes.isSnapshot = after < m_tombstonesSince;
     for (const auto &[key, row] : m_rows) {
-        if (changes.isWhole || row.version > after)
+        if (changes.isSnapshot || row.version > after)
             changes.rows.push_back(row);
     }
-    if (changes.isWhole)
+    if (changes.isSnapshot)
         return changes;
     for (const auto &[key, version] : m_tombstones) {
         if (version > after)
-            changes.gone.emplace(key, version);
+            changes.removed.emplace(key, version);
     }
     return changes;
 }
--- a/src/sched/prefix_map.cpp
+++ b/src/sched/prefix_map.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Share of the entries from before a gap that are taken to be still there.
+/// Estimated fraction of entries that are still cached after a gap in the event sequence.
 constexpr double confidenceAfterGap = 0.7;
-/// Only the replicas used last are remembered for a prefix.
+/// Number of most recently used replicas remembered per prefix.
 constexpr std::size_t maxHolders = 8;
 
 } // namespace
@@ -69,12 +69,12 @@
 {
     for (const holder &h : holders(prefix)) {
         if (h.replica == replica)
-            return double(h.tokens) * trust(h);
+            return double(h.tokens) * confidence(h);
     }
     return 0;
 }
 
-double prefix_map::trust(const holder &h) const
+double prefix_map::confidence(const holder &h) const
 {
     const auto it = m_events.find(h.replica);
     return it != m_events.end() && h.usedAt < it->second.uncertainBefore ? confidenceAfterGap : 1;
--- a/src/sched/replica_table.cpp
+++ b/src/sched/replica_table.cpp
@@ -7,7 +7,7 @@
 void replica_table::setReplicas(const std::vector<replica> &listed)
 {
     for (entry &e : m_entries)
-        e.gone = true;
+        e.isRemoved = true;
     for (const replica &r : listed) {
         const auto [it, added]
             = m_index.try_emplace(r.id, static_cast<replica_index>(m_entries.size()));
@@ -15,12 +15,13 @@
             m_entries.emplace_back();
         entry &e = m_entries[it->second];
         const int outstanding = e.listed.outstanding;
-        // A host that was started again under its name has not said that it leaves.
+        // A new address under the same id is a restarted host, which has not reported that it is
+        // leaving.
         if (e.listed.address != r.address)
             e.reportedLeaving = false;
         e.listed = r;
         e.listed.outstanding = outstanding;
-        e.gone = false;
+        e.isRemoved = false;
     }
     regroup();
 }
@@ -35,11 +36,11 @@
 {
     m_groups.clear();
     for (replica_index i = 0; i < m_entries.size(); ++i) {
-        if (!isOpen(i))
+        if (!isAvailable(i))
             continue;
         const replica &r = m_entries[i].listed;
         replica_group &g = m_groups[r.service];
-        (r.dataCentre == m_here ? g.near : g.far).push_back(i);
+        (r.dataCentre == m_localDataCentre ? g.near : g.far).push_back(i);
     }
 }
 
@@ -62,8 +63,8 @@
 void replica_table::change(entry &e, int calls, std::int64_t prefillTokens, time_point now)
 {
     e.listed.outstanding += calls;
-    // A replica that never reports is judged by this daemon's work alone, without a list that
-    // grows.
+    // For a replica that never sends reports, only this daemon's own load counts; recording
+    // changes would grow the list without bound.
     if (e.report.takenAt == time_point())
         return;
     e.changes.push_back({now, calls, prefillTokens});
@@ -85,7 +86,7 @@
     entry &e = m_entries[index];
     e.ownTokens -= promptTokens;
     e.ownPrefill -= prefillTokens;
-    // A report taken after the call was sent shows what was left of its prefill by then.
+    // A report taken after the call was sent already includes the rest of its prefill.
     change(e, -1, sentAt > e.report.takenAt ? -prefillTokens : 0, now);
 }
 
@@ -95,10 +96,10 @@
     return it == m_index.end() ? noReplica : it->second;
 }
 
-bool replica_table::isOpen(replica_index index) const
+bool replica_table::isAvailable(replica_index index) const
 {
     const entry &e = m_entries[index];
-    return !e.gone && !e.reportedLeaving && !e.listed.leaving;
+    return !e.isRemoved && !e.reportedLeaving && !e.listed.leaving;
 }
 
 load_estimate replica_table::load(replica_index index) const
@@ -122,7 +123,7 @@
 {
     std::vector<replica> all;
     for (const entry &e : m_entries) {
-        if (!e.gone)
+        if (!e.isRemoved)
             all.push_back(e.listed);
     }
     return all;
--- a/src/sched/router.cpp
+++ b/src/sched/router.cpp
@@ -6,23 +6,25 @@
 
 namespace {
 
-/// Candidates drawn by chance in a large group. Few are as good as all of them (two choices do
-/// most of it), and they keep the daemons from all picking the one replica that looks best.
+/// Number of random candidates drawn from a large group. A few are nearly as good as all (the power
+/// of two choices), and sampling keeps the daemons from all picking the same replica, the one that
+/// looks best.
 constexpr std::size_t maxNearCandidates = 12;
 constexpr std::size_t maxFarCandidates = 12;
-/// Calls beyond the slots of a batch wait for about this many tokens of a call before them.
+/// Calls beyond the slots of the batch wait for about this many output tokens of each call ahead
+/// of them.
 constexpr double tokensPerWaitingCall = 200;
 
 } // namespace
 
-void router::collect(const std::vector<replica_index> &from, std::size_t most)
+void router::sampleCandidates(const std::vector<replica_index> &from, std::size_t maxCount)
 {
-    if (from.size() <= most) {
+    if (from.size() <= maxCount) {
         m_candidates.insert(m_candidates.end(), from.begin(), from.end());
         return;
     }
     std::uniform_int_distribution<std::size_t> any(0, from.size() - 1);
-    for (std::size_t i = 0; i < most; ++i)
+    for (std::size_t i = 0; i < maxCount; ++i)
         m_candidates.push_back(from[any(m_random)]);
 }
 
@@ -30,7 +32,7 @@
                         const prefix_map &prefixes)
 {
     for (const prefix_map::holder &h : prefixes.holders(prefix)) {
-        if (table.isOpen(h.replica) && table.at(h.replica).service == call.service)
+        if (table.isAvailable(h.replica) && table.at(h.replica).service == call.service)
             m_candidates.push_back(h.replica);
     }
 }
@@ -62,15 +64,15 @@
     addHolders(stableHash(call.program.value), call, table, prefixes);
     if (call.sharedPrefix != 0)
         addHolders(call.sharedPrefix, call, table, prefixes);
-    collect(group.near, maxNearCandidates);
-    collect(group.far, maxFarCandidates);
+    sampleCandidates(group.near, maxNearCandidates);
+    sampleCandidates(group.far, maxFarCandidates);
 
-    std::uniform_real_distribution<double> factor(1, 1 + m_parameters.spread);
-    const double distance = std::chrono::duration<double>(m_parameters.distance).count();
+    std::uniform_real_distribution<double> factor(1, 1 + m_parameters.costJitter);
+    const double distance = std::chrono::duration<double>(m_parameters.remotePenalty).count();
     std::optional<route> best;
     double bestCost = 0;
     for (const replica_index index : m_candidates) {
-        if (index == excluded || !health.mayTake(index, now))
+        if (index == excluded || !health.mayReceiveCall(index, now))
             continue;
         const load_estimate load = table.load(index);
         const std::int64_t prefill = call.promptTokens - cachedTokens(call, index, prefixes);
--- a/src/sched/service_ledger.cpp
+++ b/src/sched/service_ledger.cpp
@@ -7,18 +7,20 @@
 
 namespace {
 
+/// Time constant of the exponential decay of recent service.
 constexpr double usageDecaySeconds = 30;
 constexpr double outputSmoothing = 0.02;
-/// Less recent service than this is no sign of a tenant that takes part in the contention.
+/// A tenant with less recent service than this, in seconds, and no running program does not
+/// compete for capacity.
 constexpr double minActiveUsage = 0.05;
 
 } // namespace
 
 void service_ledger::startProgram(const program_id &id, const tenant_id &tenant, double weight)
 {
-    family &f = m_programTrees[rootOf(id)];
+    program_tree &f = m_programTrees[rootOf(id)];
     f.tenant = tenant;
-    ++f.members;
+    ++f.treePrograms;
     tenant_usage &usage = m_tenants[tenant];
     usage.weight = weight;
     ++usage.programs;
@@ -30,7 +32,7 @@
     if (it == m_programTrees.end())
         return;
     --m_tenants[it->second.tenant].programs;
-    if (--it->second.members == 0)
+    if (--it->second.treePrograms == 0)
         m_programTrees.erase(it);
 }
 
@@ -57,13 +59,13 @@
     }
 }
 
-double service_ledger::attained(const program_id &id) const
+double service_ledger::attainedService(const program_id &id) const
 {
     const auto it = m_programTrees.find(rootOf(id));
     return it == m_programTrees.end() ? 0 : it->second.service;
 }
 
-double service_ledger::excess(const tenant_id &tenant, time_point now) const
+double service_ledger::shareExcess(const tenant_id &tenant, time_point now) const
 {
     double all = 0;
     double weights = 0;
--- a/src/sched/service_ledger.h
+++ b/src/sched/service_ledger.h
@@ -7,36 +7,38 @@
 
 namespace azurehill {
 
-/// \brief Service that programs and tenants have had, in seconds of one replica.
+/// \brief Accounting of the service that programs and tenants have received, in replica seconds.
 class service_ledger
 {
 public:
-    explicit service_ledger(const scheduler_parameters &knobs) : m_parameters(knobs) { }
-    void setParameters(const scheduler_parameters &knobs) { m_parameters = knobs; }
+    explicit service_ledger(const scheduler_parameters &parameters) : m_parameters(parameters) { }
+    void setParameters(const scheduler_parameters &parameters) { m_parameters = parameters; }
 
     void startProgram(const program_id &id, const tenant_id &tenant, double weight);
     void endProgram(const program_id &id);
-    /// \brief Charges a call to its family and its tenant.
+    /// \brief Charges a call to its program tree, a root program with its sub-agents, and to its
+    /// tenant.
     void charge(const pending_call &call, std::int64_t prefillTokens, std::int64_t outputTokens,
                 time_point now);
 
-    /// \returns service of the family of \p id so far.
-    double attained(const program_id &id) const;
-    /// \returns by how much the tenant's part of the recent service exceeds its share, 0 to 1.
-    double excess(const tenant_id &tenant, time_point now) const;
-    /// \returns programs of the tenant that are under way here.
+    /// \returns the service attained by the program tree of \p id.
+    double attainedService(const program_id &id) const;
+    /// \returns by how much the tenant's fraction of the recent service exceeds its fair share, 0
+    /// to 1.
+    double shareExcess(const tenant_id &tenant, time_point now) const;
+    /// \returns the number of running programs of the tenant at this daemon.
     int programs(const tenant_id &tenant) const;
-    /// \returns output tokens that the next call of \p id may be expected to give.
+    /// \returns the expected number of output tokens of the next call of \p id.
     double expectedOutput(const program_id &id) const;
 
 private:
-    struct family
+    struct program_tree
     {
         tenant_id tenant;
         double service = 0;
         double output = 0;
         int calls = 0;
-        int members = 0;
+        int treePrograms = 0;
     };
     struct tenant_usage
     {
@@ -49,7 +51,7 @@
     static double decayed(const tenant_usage &usage, time_point now);
 
     scheduler_parameters m_parameters;
-    std::unordered_map<program_id, family> m_programTrees;
+    std::unordered_map<program_id, program_tree> m_programTrees;
     std::unordered_map<tenant_id, tenant_usage> m_tenants;
     double m_averageOutputTokens = 200;
 };
--- a/src/store/paced_store.cpp
+++ b/src/store/paced_store.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Pause before a read that was refused as beyond the store's rate is made again. Reads are three
-/// times as many as writes there, so this is rare.
+/// Delay before retrying a read that the store refused with Limited. The store's rate limit for
+/// reads is three times that for writes, so this is rare.
 constexpr duration readRetryDelay = milliseconds(30);
 
 store_error queueTimeoutError()
 {
-    return {store_error_kind::Refused, "waited too long for its turn to be written", {}};
+    return {store_error_kind::Refused, "write timed out in the queue before it was sent", {}};
 }
 
 store_error unknownOutcomeError()
@@ -24,7 +24,7 @@
     return {store_error_kind::Unknown, "no answer in time", {}};
 }
 
-/// \returns the rows of \p current that \p t has conditions on.
+/// \returns the rows of \p current that the conditions of \p t name.
 std::vector<stored_row> rowsOf(const store_transaction &t, const std::vector<stored_row> &current)
 {
     std::vector<stored_row> rows;
@@ -37,8 +37,9 @@
     return rows;
 }
 
-/// \returns whether the conditions of \p t hold on \p rows. A row that is not there has version 0.
-bool holds(const store_transaction &t, const std::vector<stored_row> &rows)
+/// \returns whether the conditions of \p t hold for \p rows. A row that does not exist has
+/// version 0.
+bool conditionsHold(const store_transaction &t, const std::vector<stored_row> &rows)
 {
     return std::all_of(t.conditions.begin(), t.conditions.end(), [&](const row_condition &c) {
         store_version version = 0;
@@ -72,14 +73,15 @@
     const auto pending = std::make_shared<pending_write>(m_executor, std::move(t), deadline);
     m_pending.emplace(number, pending);
     m_queue.add(number, std::move(copy), deadline);
-    pump();
+    dispatchWaiting();
     while (!pending->result) {
-        pending->alarm.expires_at(deadline);
+        pending->deadlineTimer.expires_at(deadline);
         boost::system::error_code code;
-        co_await pending->alarm.async_wait(asio::redirect_error(use_awaitable, code));
+        co_await pending->deadlineTimer.async_wait(asio::redirect_error(use_awaitable, code));
         if (pending->result || runtime_clock::now() < deadline)
             continue;
-        // Once it went, others may still wait for the call, and this write may take effect.
+        // If the write was already sent, its call goes on, since other writes may share it, and
+        // the write may still take effect.
         const bool isCertain = m_queue.withdraw(number);
         pending->result = tl::unexpected(isCertain ? queueTimeoutError() : unknownOutcomeError());
     }
@@ -87,7 +89,7 @@
     co_return std::move(*pending->result);
 }
 
-void paced_store::pump()
+void paced_store::dispatchWaiting()
 {
     while (auto batch = m_queue.take(runtime_clock::now())) {
         spawn(m_executor, "sendWrites", send(std::move(*batch)));
@@ -104,7 +106,7 @@
     if (next)
         co_await sleepFor(std::max<duration>(milliseconds(1), *next - runtime_clock::now()));
     m_isDispatchScheduled = false;
-    pump();
+    dispatchWaiting();
 }
 
 awaitable<void> paced_store::send(write_batch batch)
@@ -116,33 +118,34 @@
         m_queue.onDone(now);
     else if (result.error().kind == store_error_kind::Limited)
         m_queue.onLimited(now);
-    settle(batch, result);
-    pump();
+    completeBatch(batch, result);
+    dispatchWaiting();
 }
 
-void paced_store::settle(const write_batch &batch, const store_result<store_version> &result)
+void paced_store::completeBatch(const write_batch &batch, const store_result<store_version> &result)
 {
     const bool isLimited = !result && result.error().kind == store_error_kind::Limited;
     const bool isConflict = !result && result.error().kind == store_error_kind::Conflict;
     for (const std::uint64_t number : batch.members) {
         if (!m_pending.contains(number))
-            continue; // given up meanwhile
+            continue; // timed out in the meantime
         if (isLimited) {
             requeue(number);
             continue;
         }
         if (!isConflict || batch.members.size() == 1) {
-            finish(number, result);
+            complete(number, result);
             continue;
         }
-        // One condition fails all: those whose own conditions hold go again.
+        // One failed condition fails the whole transaction: writes whose own conditions hold are
+        // retried.
         const store_transaction &own = m_pending.at(number)->transaction;
         const std::vector<stored_row> rows = rowsOf(own, result.error().current);
-        if (holds(own, rows))
+        if (conditionsHold(own, rows))
             requeue(number);
         else
-            finish(number,
-                   tl::unexpected(store_error{store_error_kind::Conflict, "conflict", rows}));
+            complete(number,
+                     tl::unexpected(store_error{store_error_kind::Conflict, "conflict", rows}));
     }
 }
 
@@ -150,17 +153,17 @@
 {
     const pending_ptr pending = m_pending.at(number);
     if (runtime_clock::now() >= pending->deadline) {
-        finish(number, tl::unexpected(queueTimeoutError()));
+        complete(number, tl::unexpected(queueTimeoutError()));
         return;
     }
     m_queue.add(number, pending->transaction, pending->deadline);
 }
 
-void paced_store::finish(std::uint64_t number, store_result<store_version> result)
+void paced_store::complete(std::uint64_t number, store_result<store_version> result)
 {
     const pending_ptr pending = m_pending.at(number);
     pending->result = std::move(result);
-    pending->alarm.cancel();
+    pending->deadlineTimer.cancel();
 }
 
 awaitable<store_result<row_page>> paced_store::read(row_range range, time_point deadline)
--- a/src/store/store_transport.cpp
+++ b/src/store/store_transport.cpp
@@ -4,12 +4,13 @@
 
 namespace {
 
-/// A connection to the store that went silent is noticed at its next use only; this bounds how old
-/// it can be then.
+/// A dead connection to the store is detected only at its next use; this bounds the time it can
+/// have been idle by then.
 constexpr duration maxIdle = seconds(5);
 constexpr std::size_t maxIdleConnections = 16;
-/// The store's host is a few milliseconds away; a lost opening packet is sent again after a second.
-constexpr duration connectTime = milliseconds(400);
+/// The store's host is a few milliseconds away, and TCP retransmits a lost SYN only after a
+/// second, so the attempt is abandoned before that.
+constexpr duration connectTimeout = milliseconds(400);
 
 } // namespace
 
@@ -22,7 +23,7 @@
 {
     http_connection connection = m_pool.take(m_store, runtime_clock::now());
     if (!connection.isReusable()) {
-        const time_point until = std::min(deadline, runtime_clock::now() + connectTime);
+        const time_point until = std::min(deadline, runtime_clock::now() + connectTimeout);
         const auto connected = co_await connection.connect(m_store, until);
         if (!connected)
             co_return tl::unexpected(connected.error());
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -159,7 +159,7 @@
     changeTable();
     for (int i = 0; i < int(m_daemons.size()); ++i) {
         const double phase = std::uniform_real_distribution<double>(0, 1)(m_random);
-        const auto wait = std::chrono::duration_cast<duration>(phase * lookPause(m_turns));
+        const auto wait = std::chrono::duration_cast<duration>(phase * pollInterval(m_turns));
         push(m_now + wait, {i, -1, std::nullopt, true});
     }
 }
@@ -186,7 +186,7 @@
         ++tableReads;
         copy.onRead(tablePage(), m_now);
     }
-    push(m_now + lookPause(m_turns), {daemon, -1, std::nullopt, true});
+    push(m_now + pollInterval(m_turns), {daemon, -1, std::nullopt, true});
 }
 
 void membership_replay::onDigests(int daemon)
--- a/test/logic/store_overload_replay_test.cpp
+++ b/test/logic/store_overload_replay_test.cpp
@@ -20,29 +20,31 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-/// \brief Many daemons on one store, and programs whose turns partly run in parallel.
+/// \brief Simulation of many daemons on one store, with programs that run some of their turns in
+/// parallel.
 ///
-/// Each turn changes its program's account when it begins, under the condition that the account is
-/// as its daemon knows it, and adds a row of its own when it ends, as turn_ledger does. A client
-/// whose turn was refused, or whose end did not come within its gap, asks again from the first
-/// write. Time passes in steps of a millisecond.
+/// As in turn_ledger, each turn updates its program's account row when it begins, on condition
+/// that the row has the version known to its daemon, and inserts a row of its own when it ends. A
+/// client whose turn was refused, or did not end within the client's stall timeout, retries the
+/// turn from its first write. Time advances in steps of one millisecond.
 class parallel_turns_replay
 {
 public:
     static constexpr int daemons = 62;
     static constexpr int callsPerSecond = 1500;
-    /// Clients leave a stream that stands still for this long.
-    static constexpr int clientGapMs = 1700;
-    /// Turns of a program at a time, one group after the other: four of eleven have others beside
-    /// them, as 29 to 37 in 100 did in logs of 62 and 87 hosts.
-    static constexpr std::array<int, 8> groups{1, 1, 1, 4, 1, 1, 1, 1};
+    /// Clients close a stream that makes no progress for this long.
+    static constexpr int clientStallTimeoutMs = 1700;
+    /// Number of parallel turns in each group of a program; groups run one after the other. Four
+    /// of eleven turns run in parallel with others, as 29 to 37 in 100 did in the logs of 62 and
+    /// 87 hosts.
+    static constexpr std::array<int, 8> turnGroups{1, 1, 1, 4, 1, 1, 1, 1};
     static constexpr int turnsOfProgram = 11;
 
     parallel_turns_replay()
     {
         for (write_queue &queue : m_queues)
             queue.setRates(callsPerSecond, daemons);
-        // The busiest daemon had three times the turns of the idlest.
+        // The busiest daemon had three times as many turns as the least busy one.
         std::vector<double> weights;
         weights.reserve(daemons);
         for (int i = 0; i < daemons; ++i)
@@ -50,7 +52,7 @@
         m_pick = std::discrete_distribution<std::size_t>(weights.begin(), weights.end());
     }
 
-    /// \brief Plays \p seconds in which \p turnsPerSecond are wanted each second.
+    /// \brief Simulates \p seconds with a demand of \p turnsPerSecond.
     void play(int seconds, int turnsPerSecond)
     {
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
@@ -61,7 +63,7 @@
                 failed.push_back(0);
             }
             ++m_now;
-            m_storeCredit = std::min(mostSaved, m_storeCredit + callsPerSecond / 1000.0);
+            m_storeCredit = std::min(maxCredit, m_storeCredit + callsPerSecond / 1000.0);
             m_due += double(turnsPerSecond) / turnsOfProgram / 1000;
             for (; m_due >= 1; m_due -= 1)
                 beginProgram();
@@ -69,46 +71,48 @@
         }
     }
 
-    /// By the second in which programs began: their number, and those that ended in their aim. By
-    /// the second: calls of the store, and those of them that failed for a condition.
+    /// By the second in which programs began: their number, and how many ended within their
+    /// target latency. By second: calls to the store, and how many of them failed because of a
+    /// condition.
     std::vector<int> programs;
     std::vector<int> withinTarget;
     std::vector<int> calls;
     std::vector<int> failed;
-    /// Ends that were not durable within the client's gap.
+    /// Final writes that were not durable within the client's stall timeout.
     int endsLost = 0;
-    /// How long ends waited, in ms.
+    /// Latencies of final writes, in ms.
     std::vector<int> endWaits;
 
 private:
     static constexpr int streamMs = 250;
     static constexpr int answerMs = 12;
     static constexpr int storeTimeoutMs = 1500;
-    static constexpr int comeBackMs = 2000;
-    static constexpr int mostTries = 4;
-    /// 1.3 times what the program takes alone, with 46 ms a turn for the way, and 250 ms.
-    static constexpr int aimMs = 13 * int(groups.size()) * (streamMs + 46) / 10 + 250;
-    static constexpr double mostSaved = 40;
+    static constexpr int clientRetryDelayMs = 2000;
+    static constexpr int maxAttempts = 4;
+    /// Target latency of a program: 1.3 times its latency without load, with 46 ms of transit
+    /// time per turn, plus 250 ms.
+    static constexpr int targetMs = 13 * int(turnGroups.size()) * (streamMs + 46) / 10 + 250;
+    static constexpr double maxCredit = 40;
 
     struct program_state
     {
         std::size_t second = 0;
         int beganAt = 0;
         std::size_t group = 0;
-        int open = 0;
-        /// Of its account.
+        int openTurns = 0;
+        /// Version of its account row.
         int version = 0;
     };
     struct turn_state
     {
         std::size_t program = 0;
         std::size_t daemon = 0;
-        int tries = 0;
+        int attempts = 0;
         bool isEnding = false;
         bool isOpen = false;
-        int wantedAt = 0;
+        int requestedAt = 0;
         int expiresAt = 0;
-        /// Of the account as this turn's daemon knows it.
+        /// Version of the account row known to this turn's daemon.
         int seenVersion = 0;
     };
     struct answer
@@ -129,37 +133,40 @@
     void beginGroup(std::size_t number)
     {
         program_state &program = m_programs.at(number);
-        if (program.group == groups.size()) {
-            if (m_now - program.beganAt <= aimMs)
+        if (program.group == turnGroups.size()) {
+            if (m_now - program.beganAt <= targetMs)
                 ++withinTarget.at(program.second);
             return;
         }
-        program.open = groups.at(program.group++);
-        for (int i = 0; i < program.open; ++i) {
+        program.openTurns = turnGroups.at(program.group++);
+        for (int i = 0; i < program.openTurns; ++i) {
             m_turns.emplace_back().program = number;
-            ask(m_turns.size() - 1);
+            sendTurn(m_turns.size() - 1);
         }
     }
 
-    void ask(std::size_t number)
+    void sendTurn(std::size_t number)
     {
         turn_state &turn = m_turns.at(number);
-        if (turn.tries++ == mostTries)
+        if (turn.attempts++ == maxAttempts)
             return;
         turn.daemon = m_pick(m_random);
-        // Daemons read the account with the turn that they go on from.
-        learn(turn);
-        want(number, false, storeTimeoutMs);
+        // The daemon reads the account together with the turn that this one continues.
+        refreshVersion(turn);
+        requestWrite(number, false, storeTimeoutMs);
     }
 
-    void learn(turn_state &turn) { turn.seenVersion = m_programs.at(turn.program).version; }
+    void refreshVersion(turn_state &turn)
+    {
+        turn.seenVersion = m_programs.at(turn.program).version;
+    }
 
-    void want(std::size_t number, bool isEnding, int timeoutMs)
+    void requestWrite(std::size_t number, bool isEnding, int timeoutMs)
     {
         turn_state &turn = m_turns.at(number);
         turn.isEnding = isEnding;
         turn.isOpen = true;
-        turn.wantedAt = m_now;
+        turn.requestedAt = m_now;
         turn.expiresAt = m_now + timeoutMs;
         m_expiring[turn.expiresAt].push_back(number);
         enqueue(number);
@@ -177,7 +184,7 @@
         m_queues.at(turn.daemon).add(number, std::move(t), at(turn.expiresAt));
     }
 
-    void giveUp(std::size_t number)
+    void expire(std::size_t number)
     {
         turn_state &turn = m_turns.at(number);
         if (!turn.isOpen || turn.expiresAt != m_now)
@@ -185,7 +192,7 @@
         turn.isOpen = false;
         m_queues.at(turn.daemon).withdraw(number);
         endsLost += turn.isEnding ? 1 : 0;
-        m_asks[m_now + (turn.isEnding ? 1 : comeBackMs)].push_back(number);
+        m_sends[m_now + (turn.isEnding ? 1 : clientRetryDelayMs)].push_back(number);
     }
 
     bool storeAccepts()
@@ -219,7 +226,7 @@
             if (isDone && !turn.isEnding)
                 ++m_programs.at(turn.program).version;
             if (isDone || !holdsFor(turn))
-                learn(turn);
+                refreshVersion(turn);
         }
         answerAll(batch, isDone);
     }
@@ -244,8 +251,8 @@
             m_ends[m_now + streamMs].push_back(a.turn);
             return;
         }
-        endWaits.push_back(m_now - turn.wantedAt);
-        if (--m_programs.at(turn.program).open == 0)
+        endWaits.push_back(m_now - turn.requestedAt);
+        if (--m_programs.at(turn.program).openTurns == 0)
             beginGroup(turn.program);
     }
 
@@ -256,11 +263,11 @@
         for (const answer &a : std::exchange(m_answers[m_now], {}))
             onAnswer(a);
         for (const std::size_t number : std::exchange(m_expiring[m_now], {}))
-            giveUp(number);
+            expire(number);
         for (const std::size_t number : std::exchange(m_ends[m_now], {}))
-            want(number, true, clientGapMs);
-        for (const std::size_t number : std::exchange(m_asks[m_now], {}))
-            ask(number);
+            requestWrite(number, true, clientStallTimeoutMs);
+        for (const std::size_t number : std::exchange(m_sends[m_now], {}))
+            sendTurn(number);
         for (write_queue &queue : m_queues) {
             while (const auto batch = queue.take(at(m_now)))
                 call(queue, *batch);
@@ -274,10 +281,10 @@
     std::map<int, std::vector<write_queue *>> m_limited;
     std::map<int, std::vector<std::size_t>> m_expiring;
     std::map<int, std::vector<std::size_t>> m_ends;
-    std::map<int, std::vector<std::size_t>> m_asks;
+    std::map<int, std::vector<std::size_t>> m_sends;
     std::mt19937 m_random{1};
     std::discrete_distribution<std::size_t> m_pick;
-    double m_storeCredit = mostSaved;
+    double m_storeCredit = maxCredit;
     int m_now = 0;
     double m_due = 0;
 };
@@ -292,13 +299,14 @@
 
 TEST_SUITE("store overload replay")
 {
-    // 62 hosts on a store of 1,500 writes a second, requests doubled for six seconds. From then on
-    // turns waited 70 to 120 ms for the store before they were sent (18 before the burst; one in
-    // ten 330 to 620 ms), ends 40 ms (14 before; the longest 1,599), and it stayed so for 25 s
-    // after the burst. Four turns in ten had others of their program beside them, on other hosts,
-    // and changed the same account: a third of the store's calls failed for a condition on a calm
-    // second, nearly half from the burst on, and a call that four writes shared sent all four
-    // again.
+    // Regression test: 62 hosts used a store with a limit of 1,500 writes per second, and the
+    // request rate doubled for six seconds. From then on, turns waited 70 to 120 ms for the store
+    // before they were sent (18 ms before the burst; one in ten 330 to 620 ms) and final writes
+    // took 40 ms (14 ms before; at most 1,599 ms). This lasted until 25 s after the burst. Four
+    // turns in ten ran in parallel with others of their program on other hosts and updated the
+    // same account row. A third of the store's calls failed because of a condition in normal
+    // operation, nearly half from the burst on, and after such a failure of a transaction of four
+    // writes all four were retried.
     TEST_CASE("turns of one program in parallel, and a burst beyond the store's rate")
     {
         constexpr int calm = 660;
@@ -320,10 +328,10 @@
         {
             const parallel_turns_replay world = replay(1200);
             CHECK(sum(world.withinTarget, 15, 20) > 0.9 * sum(world.programs, 15, 20));
-            // What has most behind it finishes, though the store still takes begins.
+            // Turns in progress finish, while the store still accepts new turns.
             CHECK(world.endsLost == 0);
             CHECK(*std::max_element(world.endWaits.begin(), world.endWaits.end())
-                  < parallel_turns_replay::clientGapMs);
+                  < parallel_turns_replay::clientStallTimeoutMs);
         }
     }
 }
--- a/test/logic/table_cache_test.cpp
+++ b/test/logic/table_cache_test.cpp
@@ -68,8 +68,8 @@
 
     TEST_CASE("an older copy never replaces a newer one")
     {
-        // A replica that leaves would come back: a frozen daemon wakes and tells what it read
-        // before.
+        // A suspended daemon resumes and sends the copy it read before. If that replaced a newer
+        // copy, a replica that has left would reappear.
         table_cache own;
         own.onRead(page(20, {row("a", 3)}), at(0));
         table_cache frozen;
@@ -93,9 +93,9 @@
         reader.onRead(page(15, {row("a", 12), row("c", 8), row("d", 14)}), at(1000));
 
         const table_changes changes = reader.changesSince(follower.version(), at(1010));
-        CHECK_FALSE(changes.isWhole);
+        CHECK_FALSE(changes.isSnapshot);
         CHECK(changes.rows.size() == 2);
-        CHECK(changes.gone.size() == 1);
+        CHECK(changes.removed.size() == 1);
         SUBCASE("and make the copies the same")
         {
             const auto back = decodeChanges(encodeChanges(changes), "t");
@@ -116,7 +116,7 @@
             table_cache late;
             late.onRead(page(5, {row("a", 3), row("z", 4)}), at(0));
             const table_changes whole = reader.changesSince(late.version(), at(1010));
-            CHECK(whole.isWhole);
+            CHECK(whole.isSnapshot);
             CHECK(late.onChanges(whole, at(1005)));
             CHECK(areSame(reader, late));
         }
@@ -169,7 +169,8 @@
                     RC_ASSERT(areSame(asker, other));
                     return;
                 }
-                // The other has never seen a row that came and went: it can't tell that it is gone.
+                // The other daemon never saw a row that was added and removed between its reads,
+                // so its changes cannot include the removal.
                 RC_ASSERT(areSame(asker, before));
                 asker.onRead(wholePage(), at(ms));
             };
--- a/test/logic/write_queue_test.cpp
+++ b/test/logic/write_queue_test.cpp
@@ -26,14 +26,17 @@
     return t;
 }
 
-/// \brief A store that takes so many calls a second and refuses the rest.
+/// \brief Simulated store that accepts a limited number of calls per second and refuses the rest.
 class limited_store
 {
 public:
     explicit limited_store(double callsPerSecond) : m_callsPerSecond(callsPerSecond) { }
 
-    void passMillisecond() { m_credit = std::min(mostSaved, m_credit + m_callsPerSecond / 1000); }
-    bool takes()
+    void advanceMillisecond()
+    {
+        m_credit = std::min(maxCredit, m_credit + m_callsPerSecond / 1000);
+    }
+    bool accept()
     {
         ++calls;
         if (m_credit < 1)
@@ -44,36 +47,36 @@
     int calls = 0;
 
 private:
-    static constexpr double mostSaved = 40;
+    static constexpr double maxCredit = 40;
     double m_callsPerSecond;
-    double m_credit = mostSaved;
+    double m_credit = maxCredit;
 };
 
-/// \brief Daemons whose turns each need a write to begin and one to end, on a store that is short.
-/// Time passes in steps of a millisecond.
+/// \brief Simulation of daemons on an overloaded store. Each turn needs one write when it begins
+/// and one when it ends. Time advances in steps of one millisecond.
 class overload_replay
 {
 public:
     static constexpr int daemons = 13;
     static constexpr int callsPerSecond = 800;
 
-    /// \param isPaced whether the daemons' writes go through queues, or at once with a pause that
-    /// doubles after each refusal.
+    /// \param isPaced whether the daemons' writes pass through write queues, or are sent at once
+    /// and retried with exponential backoff after a refusal.
     explicit overload_replay(bool isPaced) : m_isPaced(isPaced), m_store(callsPerSecond)
     {
         for (write_queue &queue : m_queues)
             queue.setRates(callsPerSecond, daemons);
     }
 
-    /// \brief Plays \p seconds in which \p turnsPerSecond begin each second.
+    /// \brief Simulates \p seconds with \p turnsPerSecond new turns per second.
     void play(int seconds, int turnsPerSecond)
     {
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
             ++m_now;
-            m_store.passMillisecond();
+            m_store.advanceMillisecond();
             m_due += turnsPerSecond / 1000.0;
             for (; m_due >= 1; m_due -= 1) {
-                ++asked.back();
+                ++requested.back();
                 begin(m_turns.emplace_back());
             }
             step();
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Turns that began and that ended with their last write done, and calls made, by second.
-    std::vector<int> asked{0};
+    /// Per second: turns requested, turns whose final write succeeded, and calls to the store.
+    std::vector<int> requested{0};
     std::vector<int> done{0};
     std::vector<int> calls;
 
@@ -100,18 +103,18 @@
         int expiresAt = 0;
         int pauseMs = firstPauseMs;
     };
-    struct happening
+    struct write_event
     {
         std::size_t turn = 0;
-        bool isWritten = false;
+        bool isAnswer = false;
     };
 
     void begin(turn_state &turn)
     {
         turn.number = m_turns.size() - 1;
-        want(turn, false);
+        requestWrite(turn, false);
     }
-    void want(turn_state &turn, bool isEnding)
+    void requestWrite(turn_state &turn, bool isEnding)
     {
         turn.isEnding = isEnding;
         turn.expiresAt = m_now + timeoutMs;
@@ -130,16 +133,16 @@
     {
         if (m_now >= turn.expiresAt)
             return;
-        if (m_store.takes()) {
-            m_later[m_now + answerMs].push_back({turn.number, true});
+        if (m_store.accept()) {
+            m_events[m_now + answerMs].push_back({turn.number, true});
             return;
         }
-        m_later[m_now + turn.pauseMs].push_back({turn.number, false});
+        m_events[m_now + turn.pauseMs].push_back({turn.number, false});
         turn.pauseMs *= 2;
     }
     void sendBatch(write_queue &queue, const write_batch &batch)
     {
-        const bool isDone = m_store.takes();
+        const bool isDone = m_store.accept();
         if (isDone)
             queue.onDone(at(m_now));
         else
@@ -147,16 +150,16 @@
         for (const std::uint64_t number : batch.members) {
             turn_state &turn = m_turns.at(number);
             if (isDone)
-                m_later[m_now + answerMs].push_back({turn.number, true});
+                m_events[m_now + answerMs].push_back({turn.number, true});
             else if (m_now < turn.expiresAt)
                 enqueue(turn);
         }
     }
     void step()
     {
-        for (const happening &h : std::exchange(m_later[m_now], {})) {
+        for (const write_event &h : std::exchange(m_events[m_now], {})) {
             turn_state &turn = m_turns.at(h.turn);
-            if (!h.isWritten)
+            if (!h.isAnswer)
                 sendUnpaced(turn);
             else if (turn.isEnding)
                 ++done.back();
@@ -164,7 +167,7 @@
                 m_ends[m_now + streamMs].push_back(h.turn);
         }
         for (const std::size_t number : std::exchange(m_ends[m_now], {}))
-            want(m_turns.at(number), true);
+            requestWrite(m_turns.at(number), true);
         for (write_queue &queue : m_queues) {
             while (const auto batch = queue.take(at(m_now)))
                 sendBatch(queue, *batch);
@@ -173,7 +176,7 @@
     void nextSecond()
     {
         calls.push_back(std::exchange(m_store.calls, 0));
-        asked.push_back(0);
+        requested.push_back(0);
         done.push_back(0);
     }
 
@@ -181,7 +184,7 @@
     limited_store m_store;
     std::array<write_queue, daemons> m_queues;
     std::deque<turn_state> m_turns;
-    std::map<int, std::vector<happening>> m_later;
+    std::map<int, std::vector<write_event>> m_events;
     std::map<int, std::vector<std::size_t>> m_ends;
     int m_now = 0;
     double m_due = 0;
@@ -213,14 +216,14 @@
     {
         write_queue queue;
         queue.setRates(100, 10);
-        // A burst of the daemon's own used up what it had saved, and the store began to refuse.
+        // The daemon has used up its burst credit, and the store has started to refuse calls.
         for (int i = 0; i < 6; ++i)
             queue.onLimited(at(100 * i));
         REQUIRE(queue.rate() == doctest::Approx(10));
-        queue.add(1, writeOf("a", write_urgency::Upkeep), at(5000));
+        queue.add(1, writeOf("a", write_urgency::Background), at(5000));
         queue.add(2, writeOf("b", write_urgency::Begin), at(5000));
         queue.add(3, writeOf("c", write_urgency::End), at(4000));
-        queue.add(4, writeOf("a", write_urgency::Upkeep), at(5000));
+        queue.add(4, writeOf("a", write_urgency::Background), at(5000));
         CHECK_FALSE(queue.take(at(501)));
 
         SUBCASE("what waited goes together, ends before begins, no row twice")
@@ -267,9 +270,10 @@
         }
     }
 
-    // At the height of a burst the programs wanted 1.6 times the writes that the store takes. Its
-    // refusals were asked again, which were refused as well; ends of answers waited behind begins,
-    // and a third of the answers that clients had read to their last event never ended.
+    // Regression test: at the peak of a burst, the demand for writes was 1.6 times the store's
+    // rate limit. Refused calls were retried and refused again, and the final writes of responses
+    // waited behind the first writes of new turns. A third of the responses that clients had read
+    // up to their last event never ended.
     TEST_CASE("a burst beyond the store's rate, and what comes after it")
     {
         constexpr int calm = 250;
@@ -285,16 +289,16 @@
         const overload_replay paced = replay(true);
         const overload_replay plain = replay(false);
 
-        // In the burst: nearly all are served, where a third was not.
-        const double asked = sum(paced.asked, 4, 10);
+        // During the burst nearly all turns are served; without pacing, a third were not.
+        const double asked = sum(paced.requested, 4, 10);
         CHECK(sum(paced.done, 4, 11) > 0.95 * asked);
         CHECK(sum(plain.done, 4, 11) < 0.8 * asked);
-        // Offered calls stay near the rate.
+        // The offered calls stay close to the rate limit.
         for (std::size_t second = 5; second < 10; ++second) {
             CHECK(paced.calls.at(second) < 1.25 * callsPerSecond);
             CHECK(plain.calls.at(second) > 1.5 * callsPerSecond);
         }
-        // Two seconds after its end, as before it.
+        // Two seconds after the end of the burst, throughput is as before it.
         CHECK(sum(paced.done, 12, 18) >= 6 * calm - 5);
     }
 }
