--- a/src/entry/engine_places.cpp
+++ b/src/entry/engine_places.cpp
@@ -19,7 +19,7 @@
     return std::chrono::duration_cast<duration>(gatePatience * left);
 }
 
-admission_request ticketOf(const entry_call &call, const program_times &times)
+admission_request ticketOf(const entry_call &call, const program_timing &times)
 {
     admission_request ticket;
     ticket.rank = call.rank.order;
@@ -119,7 +119,7 @@
     }
 }
 
-awaitable<bool> engine_places::enter(entry_call_ptr call, program_times times)
+awaitable<bool> engine_places::enter(entry_call_ptr call, program_timing times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
--- a/src/turns/turn.cpp
+++ b/src/turns/turn.cpp
@@ -92,7 +92,7 @@
 }
 
 /// \returns the account that \p head names, if it names one.
-std::optional<account_id> decodeOwner(const json::object &head)
+std::optional<account_id> decodeAccountId(const json::object &head)
 {
     const json::value *name = head.if_contains("account");
     if (!name)
@@ -123,7 +123,7 @@
         result.value.replica = decodeReplica(head);
         result.value.tokens = head.at("tokens").to_number<std::int64_t>();
         result.value.used = decodeUsed(head);
-        result.value.account = decodeOwner(head);
+        result.value.account = decodeAccountId(head);
         result.value.input = bytes.substr(0, inputSize);
         result.value.output = bytes.substr(inputSize);
         result.previous = {text("previous")};
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -1,5 +1,5 @@
 #include "entry_world.h"
-#include "model_store.h"
+#include "fake_store.h"
 #include "turns/turns.h"
 
 #include <doctest/doctest.h>
@@ -40,7 +40,7 @@
 {
     void makeUnavailable()
     {
-        access.nextFault = [] { return store_fault::LostBefore; };
+        access.nextFault = [] { return store_fault::RequestDropped; };
         access.reachable = false;
     }
 
@@ -52,7 +52,7 @@
 
     asio::io_context context;
     row_store rows;
-    model_store access{rows};
+    fake_store access{rows};
     turn_ledger ledger{access, {}};
 };
 
