--- a/src/daemon/control_calls.cpp
+++ b/src/daemon/control_calls.cpp
@@ -137,7 +137,7 @@
     if (!mayBegin(created.program))
         co_return tl::unexpected(movesNow());
     created.parent = request.parent;
-    if (const auto may = m_book.mayCreate(created, unixMilliseconds()); !may)
+    if (const auto may = m_book.checkCreation(created, unixMilliseconds()); !may)
         co_return tl::unexpected(may.error());
     created.tenant = request.tenant;
     created.programClass = request.programClass;
@@ -164,7 +164,7 @@
     const commit_result result = co_await commit(record, commit_need::Refusable);
     if (result == commit_result::Durable)
         co_return id;
-    m_book.forget(id);
+    m_book.erase(id);
     co_return tl::unexpected(commitRefusal(result));
 }
 
--- a/src/daemon/control_membership.cpp
+++ b/src/daemon/control_membership.cpp
@@ -184,7 +184,7 @@
         if (m_history.heldSince(id, m_loadedView))
             known.insert(id);
         else
-            m_book.forget(id);
+            m_book.erase(id);
     }
     for (const journal_batch &batch : batches) {
         for (const journal_record &record : batch.records) {
@@ -208,10 +208,10 @@
     // never sent again from here and are charged in full.
     std::vector<journal_record> records;
     for (const auto &[id, p] : m_book.programs()) {
-        if (!p.open || m_streams.count(id))
+        if (!p.openCall || m_streams.count(id))
             continue;
-        records.emplace_back(
-            call_failed{id, p.open->turn, p.open->key, outcome::Unknown, p.open->reservedTokens});
+        records.emplace_back(call_failed{id, p.openCall->turn, p.openCall->key, outcome::Unknown,
+                                         p.openCall->reservedTokens});
     }
     // One ticket each: a view that takes one program away leaves the other records in place. A
     // record that is lost needs nothing: its program is another daemon's then.
--- a/src/daemon/control_release.cpp
+++ b/src/daemon/control_release.cpp
@@ -55,11 +55,11 @@
 
 awaitable<void> control::endOverdue()
 {
-    const auto due = m_reaper.tick(m_book, runtime_clock::now(), unixMilliseconds());
+    const auto due = m_reaper.findDue(m_book, runtime_clock::now(), unixMilliseconds());
     for (const program_ended &end : due) {
         // Another commit was waited for in between: the program may have begun a call.
         const program *p = m_book.find(end.program);
-        if (p && !p->open)
+        if (p && !p->openCall)
             co_await endProgram(end.program, end.reason);
     }
 }
@@ -75,15 +75,15 @@
         engines[r.id] = *address;
         listed.insert(r.id);
     }
-    m_releases.onEngines(listed, runtime_clock::now());
-    for (const release_order &order : m_releases.gone(m_book, runtime_clock::now()))
+    m_releases.onListedEngines(listed, runtime_clock::now());
+    for (const release_order &order : m_releases.ordersForLostEngines(m_book, runtime_clock::now()))
         confirmRelease(order);
     const auto orders = m_releases.poll(m_book, runtime_clock::now());
     for (const release_order &order : orders) {
         bool confirmed = false;
         if (const auto it = engines.find(order.engine); it != engines.end())
             confirmed = co_await sendRelease(order, it->second);
-        m_releases.onAnswer(order, confirmed, runtime_clock::now());
+        m_releases.onResponse(order, confirmed, runtime_clock::now());
         if (confirmed)
             confirmRelease(order);
     }
--- a/src/daemon/door.cpp
+++ b/src/daemon/door.cpp
@@ -43,7 +43,7 @@
             {"class", p.programClass},
             {"budget_tokens", p.budgetTokens},
             {"spent_tokens", p.spentTokens},
-            {"reserved_tokens", p.open ? p.open->reservedTokens : 0},
+            {"reserved_tokens", p.openCall ? p.openCall->reservedTokens : 0},
             {"last_turn", p.lastTurn},
             {"deadline_unix_ms", p.deadlineUnixMs},
             {"state", p.ended ? toName(*p.ended) : std::string_view("running")}};
--- a/src/entry/engine_places.cpp
+++ b/src/entry/engine_places.cpp
@@ -19,7 +19,7 @@
     return std::chrono::duration_cast<duration>(gatePatience * left);
 }
 
-gate_ticket ticketOf(const entry_call &call, const program_times &times)
+gate_ticket ticketOf(const entry_call &call, const program_timing &times)
 {
     gate_ticket ticket;
     ticket.rank = call.rank.order;
@@ -27,9 +27,10 @@
     ticket.slack = call.request.programFinish.value_or(duration::max());
     if (ticket.slack > duration::zero())
         return ticket;
-    ticket.slack = times.left.value_or(duration::zero());
+    ticket.slack = times.timeLeft.value_or(duration::zero());
     // An answer within twice the program's time still earns something.
-    const bool isLost = times.left && times.aim && *times.left + *times.aim < duration::zero();
+    const bool isLost = times.timeLeft && times.timeBudget
+        && *times.timeLeft + *times.timeBudget < duration::zero();
     ticket.hope = isLost ? program_hope::Lost : program_hope::Late;
     return ticket;
 }
@@ -117,7 +118,7 @@
     }
 }
 
-awaitable<bool> engine_places::enter(entry_call_ptr call, program_times times)
+awaitable<bool> engine_places::enter(entry_call_ptr call, program_timing times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
--- a/src/entry/engine_places.h
+++ b/src/entry/engine_places.h
@@ -33,7 +33,7 @@
     /// \brief Waits for a place.
     /// \param times how the call's program stands, if it has an account.
     /// \returns whether the call has one now; always true for services without engines.
-    awaitable<bool> enter(entry_call_ptr call, program_times times);
+    awaitable<bool> enter(entry_call_ptr call, program_timing times);
     /// \brief Gives the call's place back, if it has one.
     void leave(entry_call &call);
     /// \brief An answer of \p service had its events \p msPerEvent apart.
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -81,7 +81,7 @@
                             && m_settings.mechanisms.has(mechanism::MergedWrites));
     spawn(m_executor, "watchOutages", m_store.watchOutages());
     spawn(m_executor, "sweep", sweep());
-    spawn(m_executor, "removeOldRows", removeOldRows());
+    spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
     return canLend ? m_server.listen(m_settings.clients) : std::uint16_t(0);
 }
@@ -124,11 +124,11 @@
     m_credits.setMembers(std::move(self), std::move(others));
 }
 
-awaitable<void> entry_service::removeOldRows()
+awaitable<void> entry_service::removeExpiredRows()
 {
     while (true) {
         co_await sleepFor(removalPause);
-        co_await m_ledger.removeOldRows();
+        co_await m_ledger.removeExpiredRows();
     }
 }
 
--- a/src/entry/entry_service.h
+++ b/src/entry/entry_service.h
@@ -60,7 +60,7 @@
     awaitable<void> servePlain(entry_call_ptr call, const http_request &request,
                                response_writer &writer);
     awaitable<void> sweep();
-    awaitable<void> removeOldRows();
+    awaitable<void> removeExpiredRows();
     void tellPlaceWords(time_point now);
 
     static bool mayRepeat(const entry_call &call);
--- a/src/entry/turn_exchange.cpp
+++ b/src/entry/turn_exchange.cpp
@@ -118,7 +118,7 @@
     if (!held)
         co_return;
     call->isLaterTurn = !call->request.previousTurn.empty()
-        || m_ledger.accountView(work->claim.program).committed > work->claim.most;
+        || m_ledger.accountView(work->claim.program).committed > work->claim.maxOutputTokens;
     const bool placed = co_await takePlace(work, writer);
     if (!placed)
         co_return;
@@ -161,7 +161,7 @@
     const entry_call_ptr call = work->call;
     const std::int64_t used = end.events * tokensPerEvent(*call);
     if (std::holds_alternative<callers_history>(work->history)) {
-        if (!m_ledger.mayStayHeld(work->claim))
+        if (!m_ledger.mayKeepHold(work->claim))
             settle(*work, used);
         co_await writer.end();
         co_return;
@@ -248,7 +248,7 @@
 awaitable<bool> turn_exchange::takePlace(turn_work_ptr work, response_writer &writer)
 {
     const entry_call_ptr call = work->call;
-    const program_times times = m_ledger.timesOf(call->request.program);
+    const program_timing times = m_ledger.timingOf(call->request.program);
     const bool hasPlace = co_await m_places.enter(call, times);
     if (hasPlace) {
         m_metrics.onPhase(call->route->name, request_phase::Store,
@@ -273,7 +273,7 @@
     if (std::holds_alternative<callers_history>(work->history)) {
         wanted.session = work->call->request.session;
         const std::int64_t committed = m_ledger.accountView(work->claim.program).committed;
-        wanted.turnsBefore = committed / std::max<std::int64_t>(1, work->claim.most) - 1;
+        wanted.turnsBefore = committed / std::max<std::int64_t>(1, work->claim.maxOutputTokens) - 1;
         wanted.turnsBefore = std::max<std::int64_t>(0, wanted.turnsBefore);
     }
     if (previous) {
@@ -299,7 +299,7 @@
 {
     const entry_call &call = *work.call;
     // One event more may have reached the client in part.
-    settle(work, std::min(work.claim.most, (end.events + 1) * tokensPerEvent(call)));
+    settle(work, std::min(work.claim.maxOutputTokens, (end.events + 1) * tokensPerEvent(call)));
     logDecision(log_event::TurnBrokeOff,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
@@ -340,8 +340,8 @@
     logDecision(log_event::TokensHeld,
                 {{"request", work.call->request.id},
                  {"program", work.claim.program.value},
-                 {"most", work.claim.most},
-                 {"budget", work.claim.budget},
+                 {"most", work.claim.maxOutputTokens},
+                 {"budget", work.claim.budgetTokens},
                  {"committed", account.committed},
                  {"row_version", std::int64_t(account.version)}});
 }
@@ -350,8 +350,8 @@
 {
     const account_view account = m_ledger.accountView(claim.program);
     return fmt::format("{}: {} of {} tokens committed at row version {}, {} wanted",
-                       toName(refusal), account.committed, claim.budget, account.version,
-                       claim.most);
+                       toName(refusal), account.committed, claim.budgetTokens, account.version,
+                       claim.maxOutputTokens);
 }
 
 } // namespace azurehill
--- a/src/program/program.h
+++ b/src/program/program.h
@@ -53,10 +53,10 @@
     std::int64_t spentTokens = 0;
     std::int64_t reservedTokens = 0;
     std::int64_t lastTurn = 0;
-    std::optional<open_call> open;
+    std::optional<open_call> openCall;
     /// Turn under which each key was used; a key never goes out under a second turn.
-    std::map<std::string, std::int64_t> keys;
-    std::map<std::int64_t, closed_call> closed;
+    std::map<std::string, std::int64_t> turnByKey;
+    std::map<std::int64_t, closed_call> closedCalls;
     std::optional<end_reason> ended;
     /// Engines that may hold the program's cache.
     std::set<upstream_id> engines;
--- a/src/program/program_reaper.cpp
+++ b/src/program/program_reaper.cpp
@@ -11,12 +11,12 @@
 };
 
 /// \returns a number that grows with whatever \p p and the programs below it do.
-family_activity activityOf(const program_book &book, const program &p)
+family_activity activityOf(const program_registry &registry, const program &p)
 {
-    family_activity a{p.lastTurn + p.spentTokens + 1, p.open.has_value()};
+    family_activity a{p.lastTurn + p.spentTokens + 1, p.openCall.has_value()};
     for (const program_id &child : p.children) {
-        if (const program *c = book.find(child)) {
-            const family_activity below = activityOf(book, *c);
+        if (const program *c = registry.find(child)) {
+            const family_activity below = activityOf(registry, *c);
             a.stamp += below.stamp;
             a.callOpen = a.callOpen || below.callOpen;
         }
@@ -26,23 +26,24 @@
 
 } // namespace
 
-std::vector<program_ended> program_reaper::tick(const program_book &book, time_point now,
-                                                std::int64_t nowUnixMs)
+std::vector<program_ended> program_reaper::findDue(const program_registry &registry, time_point now,
+                                                   std::int64_t nowUnixMs)
 {
-    std::erase_if(m_seen, [&](const auto &entry) { return !book.find(entry.first); });
+    std::erase_if(m_observations, [&](const auto &entry) { return !registry.find(entry.first); });
     std::vector<program_ended> due;
-    for (const auto &[id, p] : book.programs()) {
+    for (const auto &[id, p] : registry.programs()) {
         if (p.ended)
             continue;
-        const family_activity activity = activityOf(book, p);
-        seen &s = m_seen.try_emplace(id, seen{activity.stamp, now}).first->second;
+        const family_activity activity = activityOf(registry, p);
+        observation &s
+            = m_observations.try_emplace(id, observation{activity.stamp, now}).first->second;
         if (activity.callOpen || activity.stamp != s.activity)
             s = {activity.stamp, now};
         if (activity.callOpen)
             continue;
         if (p.deadlineUnixMs != 0 && nowUnixMs >= p.deadlineUnixMs)
             due.push_back({id, end_reason::DeadlinePassed});
-        else if (p.idleMs != 0 && now - s.since >= milliseconds(p.idleMs))
+        else if (p.idleMs != 0 && now - s.unchangedSince >= milliseconds(p.idleMs))
             due.push_back({id, end_reason::Expired});
     }
     return due;
--- a/src/program/program_reaper.h
+++ b/src/program/program_reaper.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "program/program_book.h"
+#include "program/program_registry.h"
 
 #include <unordered_map>
 #include <vector>
@@ -16,17 +16,17 @@
 public:
     /// \returns the ends that are due: idle for longer than the class allows, or past the deadline
     /// with no call under way in the program or below it.
-    std::vector<program_ended> tick(const program_book &book, time_point now,
-                                    std::int64_t nowUnixMs);
+    std::vector<program_ended> findDue(const program_registry &registry, time_point now,
+                                       std::int64_t nowUnixMs);
 
 private:
-    struct seen
+    struct observation
     {
         std::int64_t activity = 0;
-        time_point since;
+        time_point unchangedSince;
     };
 
-    std::unordered_map<program_id, seen> m_seen;
+    std::unordered_map<program_id, observation> m_observations;
 };
 
 } // namespace azurehill
--- a/src/program/release_planner.cpp
+++ b/src/program/release_planner.cpp
@@ -6,91 +6,93 @@
 
 namespace {
 
-constexpr duration firstPause = seconds(1);
-constexpr duration longestPause = seconds(30);
+constexpr duration initialReleaseRetryDelay = seconds(1);
+constexpr duration maxReleaseRetryDelay = seconds(30);
 /// The host list is late: an engine that it doesn't name may be back after a moment.
-constexpr duration goneAfter = seconds(120);
+constexpr duration engineAbsenceTimeout = seconds(120);
 /// Bound on what one poll asks for, so that a mass end doesn't flood the engines.
-constexpr std::size_t maxUnderWay = 32;
+constexpr std::size_t maxReleasesInFlight = 32;
 
 /// A call that is under way would fill the engine's memory again after its release.
-bool mayRelease(const program &p)
+bool isReleasable(const program &p)
 {
-    return p.ended && !p.open;
+    return p.ended && !p.openCall;
 }
 
 } // namespace
 
-void release_planner::onEngines(const std::set<upstream_id> &listed, time_point now)
+void release_planner::onListedEngines(const std::set<upstream_id> &listed, time_point now)
 {
-    m_firstList = std::min(m_firstList, now);
+    m_firstListAt = std::min(m_firstListAt, now);
     for (const upstream_id &engine : listed)
-        m_lastListed[engine] = now;
+        m_lastListedAt[engine] = now;
 }
 
-std::vector<release_order> release_planner::poll(const program_book &book, time_point now)
+std::vector<release_order> release_planner::poll(const program_registry &registry, time_point now)
 {
     std::erase_if(m_attempts, [&](const auto &entry) {
-        const program *p = book.find(entry.first.program);
+        const program *p = registry.find(entry.first.program);
         return !entry.second.underWay && (!p || !p->engines.count(entry.first.engine));
     });
-    auto underWay = static_cast<std::size_t>(
+    auto inFlight = static_cast<std::size_t>(
         std::count_if(m_attempts.begin(), m_attempts.end(),
                       [](const auto &entry) { return entry.second.underWay; }));
     std::vector<release_order> orders;
-    for (const auto &[id, p] : book.programs()) {
-        if (!mayRelease(p))
+    for (const auto &[id, p] : registry.programs()) {
+        if (!isReleasable(p))
             continue;
         for (const upstream_id &engine : p.engines) {
             const release_order order{id, engine};
             attempt &a
-                = m_attempts.try_emplace(order, attempt{false, now, firstPause}).first->second;
-            if (a.underWay || now < a.notBefore || underWay >= maxUnderWay)
+                = m_attempts.try_emplace(order, attempt{false, now, initialReleaseRetryDelay})
+                      .first->second;
+            if (a.inFlight || now < a.nextAttemptAt || inFlight >= maxReleasesInFlight)
                 continue;
-            a.underWay = true;
-            ++underWay;
+            a.inFlight = true;
+            ++inFlight;
             orders.push_back(order);
         }
     }
     return orders;
 }
 
-void release_planner::onAnswer(const release_order &order, bool confirmed, time_point now)
+void release_planner::onResponse(const release_order &order, bool confirmed, time_point now)
 {
     const auto it = m_attempts.find(order);
     if (it == m_attempts.end())
         return;
     attempt &a = it->second;
-    a.underWay = false;
-    a.notBefore = now + a.pause;
+    a.inFlight = false;
+    a.nextAttemptAt = now + a.retryDelay;
     if (!confirmed)
-        a.pause = std::min(a.pause * 2, longestPause);
+        a.retryDelay = std::min(a.retryDelay * 2, maxReleaseRetryDelay);
 }
 
-std::vector<release_order> release_planner::gone(const program_book &book, time_point now) const
+std::vector<release_order> release_planner::ordersForLostEngines(const program_registry &registry,
+                                                                 time_point now) const
 {
     std::vector<release_order> orders;
-    for (const auto &[id, p] : book.programs()) {
-        if (!mayRelease(p))
+    for (const auto &[id, p] : registry.programs()) {
+        if (!isReleasable(p))
             continue;
         for (const upstream_id &engine : p.engines) {
-            const auto it = m_lastListed.find(engine);
-            const time_point last = it == m_lastListed.end() ? m_firstList : it->second;
-            if (last != time_point::max() && now - last > goneAfter)
+            const auto it = m_lastListedAt.find(engine);
+            const time_point last = it == m_lastListedAt.end() ? m_firstListAt : it->second;
+            if (last != time_point::max() && now - last > engineAbsenceTimeout)
                 orders.push_back({id, engine});
         }
     }
     return orders;
 }
 
-std::vector<release_order> release_planner::reconcile(const program_book &book,
+std::vector<release_order> release_planner::reconcile(const program_registry &registry,
                                                       const upstream_id &engine,
                                                       const std::vector<program_id> &held)
 {
     std::vector<release_order> orders;
     for (const program_id &id : held) {
-        const program *p = book.find(id);
-        if (!p || mayRelease(*p))
+        const program *p = registry.find(id);
+        if (!p || isReleasable(*p))
             orders.push_back({id, engine});
     }
     return orders;
--- a/src/turns/token_account.cpp
+++ b/src/turns/token_account.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 /// More than any program spends, and far below what makes sums run over.
-constexpr std::int64_t mostTokens = 1'000'000'000'000'000;
+constexpr std::int64_t maxAccountTokens = 1'000'000'000'000'000;
 
 /// \returns the number in \p value. \throws if it is none that an account can have.
-std::int64_t tokensIn(const json::value &value)
+std::int64_t parseTokens(const json::value &value)
 {
     const auto tokens = value.to_number<std::int64_t>();
-    if (tokens < 0 || tokens > mostTokens)
+    if (tokens < 0 || tokens > maxAccountTokens)
         throw std::out_of_range("number of tokens");
     return tokens;
 }
@@ -41,7 +41,7 @@
     o["spent"] = account.spent;
     o["holds"] = std::move(held);
     o["finish"] = account.finishUnixMs;
-    o["aim"] = account.aimMs;
+    o["aim"] = account.timeBudgetMs;
     return json::serialize(o);
 }
 
@@ -50,11 +50,11 @@
     try {
         const json::value document = json::parse(text);
         token_account account;
-        account.spent = tokensIn(document.at("spent"));
+        account.spent = parseTokens(document.at("spent"));
         for (const auto &[id, tokens] : document.at("holds").as_object())
-            account.holds[id] = tokensIn(tokens);
+            account.holds[id] = parseTokens(tokens);
         account.finishUnixMs = document.at("finish").to_number<std::int64_t>();
-        account.aimMs = document.at("aim").to_number<std::int64_t>();
+        account.timeBudgetMs = document.at("aim").to_number<std::int64_t>();
         return account;
     } catch (const std::exception &) {
         // The caller logs the row's name: nothing of the program may run on a guess.
@@ -62,18 +62,18 @@
     }
 }
 
-std::optional<token_account> hold(token_account account, const turn_id &id, std::int64_t most,
-                                  std::int64_t budget)
+std::optional<token_account> hold(token_account account, const turn_id &id,
+                                  std::int64_t maxOutputTokens, std::int64_t budget)
 {
-    if (account.committed() + most > budget)
+    if (account.committed() + maxOutputTokens > budget)
         return std::nullopt;
-    account.holds[id.value] = most;
+    account.holds[id.value] = maxOutputTokens;
     return account;
 }
 
-bool isExhausted(const token_account &account, std::int64_t most, std::int64_t budget)
+bool isExhausted(const token_account &account, std::int64_t maxOutputTokens, std::int64_t budget)
 {
-    return account.spent + most > budget;
+    return account.spent + maxOutputTokens > budget;
 }
 
 token_account settle(token_account account, const turn_id &id, std::int64_t used)
--- a/src/turns/token_account.h
+++ b/src/turns/token_account.h
@@ -21,7 +21,7 @@
     /// work.
     std::int64_t finishUnixMs = 0;
     /// Time that the program had for all of its work when it began, in milliseconds.
-    std::int64_t aimMs = 0;
+    std::int64_t timeBudgetMs = 0;
 
     /// \returns spent and held tokens.
     std::int64_t committed() const;
@@ -33,11 +33,11 @@
 
 /// \returns \p account with \p most tokens held for \p id, or nothing if \p budget does not allow
 /// it.
-std::optional<token_account> hold(token_account account, const turn_id &id, std::int64_t most,
-                                  std::int64_t budget);
+std::optional<token_account> hold(token_account account, const turn_id &id,
+                                  std::int64_t maxOutputTokens, std::int64_t budget);
 /// \returns whether the tokens that are spent alone leave no room for \p most. They never come
 /// back, so this stays true however old \p account is.
-bool isExhausted(const token_account &account, std::int64_t most, std::int64_t budget);
+bool isExhausted(const token_account &account, std::int64_t maxOutputTokens, std::int64_t budget);
 /// \returns \p account with \p used tokens spent in place of the hold of \p id.
 token_account settle(token_account account, const turn_id &id, std::int64_t used);
 
--- a/src/turns/turn.cpp
+++ b/src/turns/turn.cpp
@@ -60,8 +60,8 @@
     head["tokens"] = t.tokens;
     if (t.account)
         head["account"] = t.account->value;
-    if (t.used)
-        head["used"] = *t.used;
+    if (t.chargedTokens)
+        head["used"] = *t.chargedTokens;
     head["input"] = t.input.size();
     head["output"] = t.output.size();
     return json::serialize(head) + '\n' + t.input + t.output;
@@ -92,7 +92,7 @@
 }
 
 /// \returns the account that \p head names, if it names one.
-std::optional<account_id> decodeOwner(const json::object &head)
+std::optional<account_id> decodeAccountId(const json::object &head)
 {
     const json::value *name = head.if_contains("account");
     if (!name)
@@ -122,8 +122,8 @@
         result.value.program = {text("program")};
         result.value.replica = decodeReplica(head);
         result.value.tokens = head.at("tokens").to_number<std::int64_t>();
-        result.value.used = decodeUsed(head);
-        result.value.account = decodeOwner(head);
+        result.value.chargedTokens = decodeUsed(head);
+        result.value.account = decodeAccountId(head);
         result.value.input = bytes.substr(0, inputSize);
         result.value.output = bytes.substr(inputSize);
         result.previous = {text("previous")};
--- a/src/turns/turn.h
+++ b/src/turns/turn.h
@@ -36,7 +36,7 @@
     std::int64_t tokens = 0;
     /// Tokens of the answer, which its program's budget is charged; nothing if the row does not
     /// say.
-    std::optional<std::int64_t> used;
+    std::optional<std::int64_t> chargedTokens;
     /// The client account whose turn it is, empty for nobody's; nothing if the row does not say.
     /// Such a row was written before turns had accounts, and any account may continue from it.
     std::optional<account_id> account = account_id();
--- a/test/io/callers_history_test.cpp
+++ b/test/io/callers_history_test.cpp
@@ -2,7 +2,7 @@
 
 // doctest's macros are used by the world.
 #include "entry_world.h"
-#include "model_store.h"
+#include "fake_store.h"
 
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
 
-    model_store access;
+    fake_store access;
     turn_ledger ledger;
 };
 
@@ -33,23 +33,24 @@
     bool daemonDies = false;
 };
 
-constexpr std::int64_t mostOfTurn = 50;
-constexpr std::int64_t budgetOfProgram = 300;
+constexpr std::int64_t maxTurnTokens = 50;
+constexpr std::int64_t programBudget = 300;
 
 /// \brief Holds, answers and settles \p turn at \p host; what is handed out goes to \p handed.
-awaitable<void> runTurn(ledger_host &host, planned_turn turn, std::int64_t &handed, int &underWay)
+awaitable<void> runTurn(ledger_host &host, planned_turn turn, std::int64_t &deliveredTokens,
+                        int &turnsInFlight)
 {
     const program_id program{"p"};
-    const turn_claim claim{{turn.id},  program, budgetOfProgram, mostOfTurn,
+    const turn_claim claim{{turn.id},  program, programBudget, maxTurnTokens,
                            seconds(5), true,    seconds(60)};
     co_await host.ledger.refresh(program, runtime_clock::now() + seconds(1));
     const auto held = co_await host.ledger.reserve(claim, runtime_clock::now() + seconds(1));
     if (held)
-        handed += turn.used;
+        deliveredTokens += turn.used;
     const bool mayBeHeld = held || held.error() == turn_refusal::InDoubt;
     if (mayBeHeld && !turn.daemonDies)
         co_await host.ledger.settleHold(claim, held ? turn.used : 0);
-    --underWay;
+    --turnsInFlight;
 }
 
 } // namespace
@@ -173,27 +174,29 @@
                     return n < 6 ? static_cast<store_fault>(n) : store_fault::None;
                 };
             }
-            std::int64_t handed = 0;
-            int underWay = 0;
-            const auto story = [&]() -> awaitable<void> {
+            std::int64_t deliveredTokens = 0;
+            int turnsInFlight = 0;
+            const auto scenario = [&]() -> awaitable<void> {
                 const asio::any_io_executor executor = co_await asio::this_coro::executor;
                 for (int i = 0; i < turns; ++i) {
-                    const std::size_t place = std::size_t(faults[std::size_t(i)]) % hosts.size();
+                    const std::size_t hostIndex
+                        = std::size_t(faults[std::size_t(i)]) % hosts.size();
                     const bool daemonDies = dies[std::size_t(i)] == 0;
                     planned_turn turn{"t" + std::to_string(i), 20 + 2 * faults[std::size_t(i) + 24],
                                       daemonDies};
-                    ++underWay;
-                    spawn(executor, "turn", runTurn(hosts[place], turn, handed, underWay));
+                    ++turnsInFlight;
+                    spawn(executor, "turn",
+                          runTurn(hosts[hostIndex], turn, deliveredTokens, turnsInFlight));
                     // Up to three at a time.
-                    while (underWay > dies[std::size_t(i)] % 3)
+                    while (turnsInFlight > dies[std::size_t(i)] % 3)
                         co_await sleepFor(milliseconds(5));
                     for (ledger_host &h : hosts)
-                        h.access.settleLate();
+                        h.access.applyDelayedWrites();
                 }
             };
             const paused_clock pause;
-            runInSteps(context, story(), milliseconds(250));
-            RC_ASSERT(handed <= budgetOfProgram);
+            runInSteps(context, scenario(), milliseconds(250));
+            RC_ASSERT(deliveredTokens <= programBudget);
         }));
     }
 }
--- a/test/io/paced_store_test.cpp
+++ b/test/io/paced_store_test.cpp
@@ -1,5 +1,5 @@
+#include "fake_store.h"
 #include "loopback.h"
-#include "model_store.h"
 #include "store/paced_store.h"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
 struct paced_world
 {
     row_store rows;
-    model_store inner{rows};
+    fake_store inner{rows};
     asio::io_context context;
     paced_store paced{context.get_executor(), inner};
     std::vector<store_result<store_version>> results;
@@ -110,7 +110,7 @@
         }
         SUBCASE("an answer that is lost leaves all of them in doubt")
         {
-            w.inner.nextFault = [] { return store_fault::LostAfter; };
+            w.inner.nextFault = [] { return store_fault::ResponseDropped; };
             w.writeAll(writes);
             for (const auto &result : w.results) {
                 REQUIRE_FALSE(result);
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -1,5 +1,5 @@
 #include "entry_world.h"
-#include "model_store.h"
+#include "fake_store.h"
 #include "turns/turns.h"
 
 #include <doctest/doctest.h>
@@ -20,8 +20,8 @@
     turn_claim claim;
     claim.id = {id};
     claim.program = {"p"};
-    claim.budget = 1000;
-    claim.most = 50;
+    claim.budgetTokens = 1000;
+    claim.maxOutputTokens = 50;
     return claim;
 }
 
@@ -40,7 +40,7 @@
 {
     void goAway()
     {
-        access.nextFault = [] { return store_fault::LostBefore; };
+        access.nextFault = [] { return store_fault::RequestDropped; };
         access.reachable = false;
     }
 
@@ -52,7 +52,7 @@
 
     asio::io_context context;
     row_store rows;
-    model_store access{rows};
+    fake_store access{rows};
     turn_ledger ledger{access, {}};
 };
 
--- a/test/io/stream_test.cpp
+++ b/test/io/stream_test.cpp
@@ -136,7 +136,7 @@
     {
         engine.open = true;
         auto wait = [&]() -> awaitable<void> {
-            while (world.daemons.front().state.inspect({program})->open)
+            while (world.daemons.front().state.inspect({program})->openCall)
                 co_await sleepFor(milliseconds(1));
         };
         world.run(wait());
@@ -243,7 +243,7 @@
             co_await sleepFor(milliseconds(1));
         CHECK_FALSE(open);
         open = true;
-        while (daemon.state.inspect({program})->open)
+        while (daemon.state.inspect({program})->openCall)
             co_await sleepFor(milliseconds(1));
     };
     world.run(body());
--- a/test/io/turn_ledger_test.cpp
+++ b/test/io/turn_ledger_test.cpp
@@ -1,5 +1,5 @@
+#include "fake_store.h"
 #include "loopback.h"
-#include "model_store.h"
 #include "turns/turn_rows.h"
 #include "turns/turns.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-const account_id nobody;
+const account_id noAccount;
 
 void runPaused(asio::io_context &context, awaitable<void> body)
 {
@@ -37,9 +37,9 @@
 }
 
 turn_claim claimFor(const std::string &id, const program_id &program, std::int64_t budget,
-                    std::int64_t most)
+                    std::int64_t maxOutputTokens)
 {
-    return {{id}, program, budget, most, seconds(5), true};
+    return {{id}, program, budget, maxOutputTokens, seconds(5), true};
 }
 
 /// \brief A daemon's ledger on a store that others share.
@@ -47,15 +47,15 @@
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
 
-    model_store access;
+    fake_store access;
     turn_ledger ledger;
 };
 
 /// \brief Reserves \p most of \p budget for the turn \p id.
-awaitable<tl::expected<void, turn_refusal>> reserveFor(turn_ledger &ledger, const char *id,
-                                                       std::int64_t budget, std::int64_t most)
+awaitable<tl::expected<void, turn_refusal>>
+reserveFor(turn_ledger &ledger, const char *id, std::int64_t budget, std::int64_t maxOutputTokens)
 {
-    turn_claim claim = claimFor(id, {"p1"}, budget, most);
+    turn_claim claim = claimFor(id, {"p1"}, budget, maxOutputTokens);
     co_return co_await ledger.reserve(std::move(claim), later(seconds(1)));
 }
 
@@ -101,38 +101,38 @@
 
         SUBCASE("the next turn comes to another daemon, which reads the whole chain")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 co_await w.runUsual(first.ledger, "t2", a);
                 const turn_id wanted{"t2"};
                 const auto found
-                    = co_await second.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await second.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE(found);
                 CHECK(buildPrompt(*found, "new") == "in-t1;out-t1\nin-t2;out-t2\nnew");
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("another program goes on from it, and its own part then holds the chain")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 const program_id other{"p2"};
                 const turn_id t1{"t1"};
                 const auto found
-                    = co_await second.ledger.load(nobody, other, t1, later(seconds(1)));
+                    = co_await second.ledger.load(noAccount, other, t1, later(seconds(1)));
                 REQUIRE(found);
                 const turn_claim two = claimFor("t2", other, 1000, 50);
                 const turn_ptr b = co_await runTurn(second.ledger, two, *found, 10);
                 REQUIRE(b);
-                CHECK(rows.read(turn_rows::ofProgram(other)).rows.size() == 3);
+                CHECK(rows.read(turn_rows::programRange(other)).rows.size() == 3);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a turn larger than a row is cut into pieces and comes back whole")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 auto t = std::make_shared<turn>(*makeTurn("big", program, nullptr));
                 t->input.assign(200'000, 'x');
                 const auto done
@@ -140,11 +140,11 @@
                 REQUIRE(done);
                 const turn_id wanted{"big"};
                 const auto found
-                    = co_await second.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await second.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE(found);
                 CHECK((*found)->input.size() == 200'000);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -158,31 +158,31 @@
 
         SUBCASE("the store confirms that there is no such turn")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const auto found
-                    = co_await host.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await host.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE_FALSE(found);
                 CHECK(found.error() == turn_refusal::NoSuchTurn);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("its row is there and can't be read: nobody can know")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 ledger_host writer(rows);
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await runTurn(writer.ledger, one, nullptr, 50);
                 store_transaction t;
-                t.writes.push_back({turn_rows::firstPiece(program, {"t1"}), "\xff\xfe"});
+                t.writes.push_back({turn_rows::firstChunk(program, {"t1"}), "\xff\xfe"});
                 static_cast<void>(rows.apply(t));
                 const turn_id spoiled{"t1"};
                 const auto b
-                    = co_await host.ledger.load(nobody, program, spoiled, later(seconds(1)));
+                    = co_await host.ledger.load(noAccount, program, spoiled, later(seconds(1)));
                 REQUIRE_FALSE(b);
                 CHECK(b.error() == turn_refusal::TurnUnreadable);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("the store is away: nobody can know")
@@ -190,13 +190,13 @@
             // A user's next page was answered 404 in an outage, and the lesson ended. The daemon
             // had not seen the turn before and took "could not read" for "is not there".
             host.access.nextFault = [] { return store_fault::Refused; };
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const auto found
-                    = co_await host.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await host.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE_FALSE(found);
                 CHECK(found.error() == turn_refusal::StoreUnavailable);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -209,79 +209,79 @@
         ledger_pair w;
         auto &[rows, first, second, context, program] = w;
         row_store before;
-        second.access.readsShow = &before;
+        second.access.staleRows = &before;
 
         SUBCASE("reads that catch up within the turn's time refuse nothing")
         {
             auto catchUp = [&]() -> awaitable<void> {
                 co_await sleepFor(milliseconds(600));
-                second.access.readsShow = nullptr;
+                second.access.staleRows = nullptr;
             };
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 spawn(context.get_executor(), "catchUp", catchUp());
                 const turn_id wanted{"t1"};
-                const auto found = co_await second.ledger.load(nobody, program, wanted,
+                const auto found = co_await second.ledger.load(noAccount, program, wanted,
                                                                later(milliseconds(1500)));
                 CHECK(found);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("reads that stay behind end in a refusal, after few calls")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 const turn_id wanted{"t1"};
                 const time_point began = runtime_clock::now();
-                const auto found = co_await second.ledger.load(nobody, program, wanted,
+                const auto found = co_await second.ledger.load(noAccount, program, wanted,
                                                                later(milliseconds(1500)));
                 REQUIRE_FALSE(found);
                 CHECK(toName(found.error()) == "reads_lag");
                 CHECK(runtime_clock::now() - began >= milliseconds(1000));
                 CHECK(second.access.calls <= 24);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a row that can't be read does not change by waiting")
         {
-            second.access.readsShow = nullptr;
-            auto story = [&]() -> awaitable<void> {
+            second.access.staleRows = nullptr;
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 store_transaction t;
-                t.writes.push_back({turn_rows::firstPiece(program, {"t1"}), "\xff\xfe"});
+                t.writes.push_back({turn_rows::firstChunk(program, {"t1"}), "\xff\xfe"});
                 static_cast<void>(rows.apply(t));
                 const turn_id wanted{"t1"};
                 const time_point began = runtime_clock::now();
-                const auto found = co_await second.ledger.load(nobody, program, wanted,
+                const auto found = co_await second.ledger.load(noAccount, program, wanted,
                                                                later(milliseconds(1500)));
                 REQUIRE_FALSE(found);
                 CHECK(toName(found.error()) == "turn_unreadable");
                 CHECK(runtime_clock::now() - began < milliseconds(400));
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("an entry of the index whose turn is gone is no turn")
         {
             // The daemon that added a program's last turn removes all its rows, and the entries of
             // the turns that it added itself. Those of others' turns stay.
-            second.access.readsShow = nullptr;
-            auto story = [&]() -> awaitable<void> {
+            second.access.staleRows = nullptr;
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 co_await w.runUsual(second.ledger, "t2", a);
                 runtime_clock::advance(seconds(75));
-                co_await second.ledger.removeOldRows();
+                co_await second.ledger.removeExpiredRows();
                 CHECK(rows.size() == 1);
                 ledger_host fresh(rows);
                 const turn_id wanted{"t1"};
                 const auto found
-                    = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE_FALSE(found);
                 CHECK(found.error() == turn_refusal::NoSuchTurn);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -292,21 +292,21 @@
 
         SUBCASE("what one daemon holds, the other can't spend")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const auto a = co_await reserveFor(first.ledger, "t1", 100, 60);
                 CHECK(a);
                 const auto b = co_await reserveFor(second.ledger, "t2", 100, 60);
                 REQUIRE_FALSE(b);
                 CHECK(b.error() == turn_refusal::BudgetSpent);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a refusal is never based on an old copy of the account")
         {
             // A translator's page was refused as over budget although another daemon had settled
             // its turn at a tenth of what it held. The daemon still believed the hold it had read.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await first.ledger.reserve(one, later(seconds(1)));
                 const auto early = co_await reserveFor(second.ledger, "t2", 100, 60);
@@ -316,14 +316,14 @@
                 const auto b = co_await reserveFor(second.ledger, "t3", 100, 60);
                 CHECK(b);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("tokens that are spent never come back, so the refusal needs no store")
         {
             // A program that loops asked for one more turn again and again after its budget was
             // spent. Each refusal read the account, and in an outage it got "come back" instead.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await runTurn(first.ledger, one, nullptr, 50);
                 const int before = first.access.calls;
@@ -333,14 +333,14 @@
                 CHECK(b.error() == turn_refusal::BudgetSpent);
                 CHECK(first.access.calls == before);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("an account that can't be read is neither a fresh budget nor a refusal for good")
         {
             // A maintenance script had damaged an account's row. The daemon asked the store for the
             // same row over and over until the client's time was over.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 100, 60);
                 store_transaction t;
                 t.writes.push_back({turn_rows::account(program), R"({"spent":)"});
@@ -353,12 +353,12 @@
                 }
                 CHECK(second.access.calls - before <= 2);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a daemon dies in the middle: what it held stays held")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 {
                     ledger_host dying(rows);
                     co_await reserveFor(dying.ledger, "t1", 100, 60);
@@ -366,7 +366,7 @@
                 const auto b = co_await reserveFor(second.ledger, "t2", 100, 60);
                 CHECK_FALSE(b);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -381,7 +381,7 @@
 
         SUBCASE("each end is one call, whatever other turns did to the account meanwhile")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 1000, 60);
                 co_await reserveFor(second.ledger, "t2", 1000, 60);
                 const turn_ptr one = makeTurn("t1", program, nullptr);
@@ -394,13 +394,13 @@
                 CHECK(b);
                 CHECK(first.access.calls + second.access.calls - before == 2);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("what they used is charged once, by whoever changes the account next")
         {
             // 100 tokens: 5 and 7 are used, so one more turn of 60 fits and another does not.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 100, 40);
                 co_await reserveFor(second.ledger, "t2", 100, 40);
                 const turn_ptr one = makeTurn("t1", program, nullptr);
@@ -416,13 +416,13 @@
                 CHECK(over.error() == turn_refusal::BudgetSpent);
                 CHECK(first.ledger.accountView(program).committed == 72);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("the daemon whose turn began first and ended last removes the program's rows")
         {
             // The other one's turn left the account's newest version, but not the newest turn.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 1000, 60);
                 co_await reserveFor(second.ledger, "t2", 1000, 60);
                 const turn_ptr one = makeTurn("t1", program, nullptr);
@@ -431,18 +431,18 @@
                 runtime_clock::advance(seconds(20));
                 co_await first.ledger.commit(one, 5, seconds(60), later(seconds(1)));
                 runtime_clock::advance(seconds(55));
-                co_await second.ledger.removeOldRows();
+                co_await second.ledger.removeExpiredRows();
                 ledger_host fresh(rows);
                 const turn_id wanted{"t1"};
                 const auto found
-                    = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 CHECK(found);
                 runtime_clock::advance(seconds(20));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 // The other daemon's entry of the index stays.
-                CHECK(rows.read(turn_rows::ofProgram(program)).rows.empty());
+                CHECK(rows.read(turn_rows::programRange(program)).rows.empty());
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -453,34 +453,34 @@
 
         SUBCASE("after the retention of the last turn")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 CHECK(rows.size() == 3);
                 runtime_clock::advance(seconds(75));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 CHECK(rows.size() == 0);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("but not while another daemon's turn of the same program is younger")
         {
             // A lesson's sixth page was answered 404: the daemon that served the first page had
             // removed the whole program a minute later, though another daemon had gone on with it.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
                 co_await w.runUsual(second.ledger, "t2", a);
                 runtime_clock::advance(seconds(25));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 ledger_host fresh(rows);
                 const turn_id wanted{"t2"};
                 const auto found
-                    = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 CHECK(found);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -495,48 +495,49 @@
             ledger_host fresh(rows);
             const turn_id wanted{id};
             const auto found
-                = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
             co_return found ? buildPrompt(*found, "") : std::string(toName(found.error()));
         };
 
         SUBCASE("another program went on with it in between")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
                 const turn_claim other = claimFor("t2", {"p2"}, 1000, 50);
                 const turn_ptr b = co_await runTurn(second.ledger, other, a, 10);
                 runtime_clock::advance(seconds(25));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 co_await w.runUsual(second.ledger, "t3", b);
                 const std::string read = co_await loadAfresh("t3");
                 CHECK(read == "in-t1;out-t1\nin-t2;out-t2\nin-t3;out-t3\n");
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a daemon remembers the turn longer than the store has it")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
                 const turn_id t1{"t1"};
-                const auto a = co_await second.ledger.load(nobody, program, t1, later(seconds(1)));
+                const auto a
+                    = co_await second.ledger.load(noAccount, program, t1, later(seconds(1)));
                 REQUIRE(a);
                 runtime_clock::advance(seconds(25));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 co_await w.runUsual(second.ledger, "t2", *a);
                 const std::string read = co_await loadAfresh("t2");
                 CHECK(read == "in-t1;out-t1\nin-t2;out-t2\n");
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a daemon that does not know the account takes no stored chain for a lost one")
         {
             // Turns without a budget reserve nothing: their commit is the first that the daemon
             // does with the account, and a long chain would be too large to be copied.
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 auto big = std::make_shared<turn>(*makeTurn("t1", program, nullptr));
                 big->input.assign(500'000, 'x');
                 auto next = std::make_shared<turn>(*makeTurn("t2", program, big));
@@ -548,23 +549,23 @@
                     = co_await second.ledger.commit(next, 1, seconds(60), later(seconds(3)));
                 CHECK(two);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("turns that are still stored are not written again")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 const turn_ptr b = co_await w.runUsual(second.ledger, "t2", a);
                 const store_version before = rows.version();
                 co_await w.runUsual(first.ledger, "t3", b);
                 for (const char *id : {"t1", "t2"}) {
-                    const row_name piece = turn_rows::firstPiece(program, {id});
+                    const row_name piece = turn_rows::firstChunk(program, {id});
                     row_range range{piece.table, piece.part, piece.key, piece.key + '\0'};
                     CHECK(rows.read(range).rows.at(0).version <= before);
                 }
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -585,44 +586,44 @@
 
         SUBCASE("the reservation took effect and its answer was lost: it is not held twice")
         {
-            plan = {store_fault::LostAfter};
-            auto story = [&]() -> awaitable<void> {
+            plan = {store_fault::ResponseDropped};
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const turn_ptr t = co_await runTurn(host.ledger, one, nullptr, 20);
                 REQUIRE(t);
                 CHECK(host.ledger.accountView(program).committed == 20);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("the commit took effect and its answer was lost: it is not charged twice")
         {
-            plan = {store_fault::None, store_fault::LostAfter};
-            auto story = [&]() -> awaitable<void> {
+            plan = {store_fault::None, store_fault::ResponseDropped};
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const turn_ptr t = co_await runTurn(host.ledger, one, nullptr, 20);
                 REQUIRE(t);
                 CHECK(host.ledger.accountView(program).committed == 20);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a reservation that is given up can't take effect seconds later")
         {
             // A turn was refused because the store did not answer. Two seconds later its
             // reservation took effect, and tokens were held for a turn that never ran.
-            plan = {store_fault::Late, store_fault::Refused, store_fault::Refused};
-            auto story = [&]() -> awaitable<void> {
+            plan = {store_fault::DelayedWrite, store_fault::Refused, store_fault::Refused};
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const auto held = co_await host.ledger.reserve(one, later(milliseconds(340)));
                 CHECK_FALSE(held);
                 co_await host.ledger.settleHold(one, 0);
-                host.access.settleLate();
+                host.access.applyDelayedWrites();
                 ledger_host other(rows);
                 const auto b = co_await reserveFor(other.ledger, "t2", 100, 60);
                 CHECK(b);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -633,7 +634,7 @@
             asio::io_context context;
             const program_id program{"p1"};
             constexpr std::int64_t budget = 300;
-            constexpr std::int64_t most = 50;
+            constexpr std::int64_t maxOutputTokens = 50;
             std::deque<ledger_host> hosts;
             for (int i = 0; i < 3; ++i)
                 hosts.emplace_back(rows);
@@ -645,24 +646,24 @@
                     return n < 6 ? static_cast<store_fault>(n) : store_fault::None;
                 };
             }
-            std::int64_t handed = 0;
+            std::int64_t deliveredTokens = 0;
             turn_ptr last;
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 for (int i = 0; i < 14; ++i) {
                     const std::string id = "t" + std::to_string(i);
                     ledger_host &host = hosts[std::size_t(faults[std::size_t(i)]) % hosts.size()];
                     if (last) {
                         const turn_id wanted = last->id;
-                        const auto found
-                            = co_await host.ledger.load(nobody, program, wanted, later(seconds(2)));
+                        const auto found = co_await host.ledger.load(noAccount, program, wanted,
+                                                                     later(seconds(2)));
                         RC_ASSERT(found || found.error() == turn_refusal::StoreUnavailable);
                     }
-                    const turn_claim claim = claimFor(id, program, budget, most);
+                    const turn_claim claim = claimFor(id, program, budget, maxOutputTokens);
                     const auto held = co_await host.ledger.reserve(claim, later(seconds(1)));
                     if (!held)
                         continue;
                     const std::int64_t used = 26 + faults[std::size_t(i) + 10] * 2;
-                    handed += used;
+                    deliveredTokens += used;
                     // Some daemons die here: nobody settles what they held.
                     if (faults[std::size_t(i) + 20] % 6 == 0)
                         continue;
@@ -672,18 +673,18 @@
                     if (done)
                         last = t;
                     for (ledger_host &h : hosts)
-                        h.access.settleLate();
+                        h.access.applyDelayedWrites();
                 }
             };
-            runPaused(context, story());
-            RC_ASSERT(handed <= budget + most);
+            runPaused(context, scenario());
+            RC_ASSERT(deliveredTokens <= budget + maxOutputTokens);
             if (last) {
                 ledger_host fresh(rows);
                 turn_ptr found;
                 auto look = [&]() -> awaitable<void> {
                     const turn_id wanted = last->id;
                     const auto result
-                        = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                        = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                     RC_ASSERT(bool(result));
                     found = *result;
                 };
--- a/test/logic/release_test.cpp
+++ b/test/logic/release_test.cpp
@@ -15,7 +15,7 @@
 /// Programs of one daemon, two engines with memory, and a network that loses answers.
 struct release_model
 {
-    program_book book;
+    program_registry registry;
     release_planner planner;
     std::vector<journal_record> durable;
     std::map<upstream_id, std::set<program_id>> memory;
@@ -26,59 +26,59 @@
     void write(const journal_record &r)
     {
         durable.push_back(r);
-        book.apply(r);
+        registry.apply(r);
     }
-    program_id any(unsigned luck) const
+    program_id any(unsigned randomBits) const
     {
-        return {"p" + std::to_string(luck % static_cast<unsigned>(created))};
+        return {"p" + std::to_string(randomBits % static_cast<unsigned>(created))};
     }
-    void call(unsigned luck)
+    void call(unsigned randomBits)
     {
-        const program &p = *book.find(any(luck));
-        if (p.ended || p.open)
+        const program &p = *registry.find(any(randomBits));
+        if (p.ended || p.openCall)
             return;
-        const upstream_id &engine = engines[luck / 16 % 2];
+        const upstream_id &engine = engines[randomBits / 16 % 2];
         const std::int64_t turn = p.lastTurn + 1;
         write(call_begun{p.id, turn, std::to_string(turn), call_kind::Model, true, 1, engine});
-        memory[luck / 32 % 8 == 0 ? engines[1] : engine].insert(p.id); // moved before it ran
+        memory[randomBits / 32 % 8 == 0 ? engines[1] : engine].insert(p.id); // moved before it ran
     }
-    void answer(unsigned luck)
+    void answer(unsigned randomBits)
     {
-        const program &p = *book.find(any(luck));
-        if (!p.open)
+        const program &p = *registry.find(any(randomBits));
+        if (!p.openCall)
             return;
-        const open_call o = *p.open;
-        if (luck / 16 % 4 == 0)
+        const open_call o = *p.openCall;
+        if (randomBits / 16 % 4 == 0)
             write(call_failed{p.id, o.turn, o.key, outcome::Unknown, 1});
         else
             write(call_finished{p.id, o.turn, o.key, 1, 200, "", ""});
     }
-    void deliver(unsigned luck)
+    void deliver(unsigned randomBits)
     {
         if (sent.empty())
             return;
         const release_order order = sent.back();
         sent.pop_back();
-        const program *p = book.find(order.program);
-        RC_ASSERT(!p || (p->ended && !p->open));
-        if (luck % 4 == 0) // never arrived
-            return planner.onAnswer(order, false, now);
+        const program *p = registry.find(order.program);
+        RC_ASSERT(!p || (p->ended && !p->openCall));
+        if (randomBits % 4 == 0) // never arrived
+            return planner.onResponse(order, false, now);
         memory[order.engine].erase(order.program);
-        if (luck % 4 == 1) // the answer is lost
-            return planner.onAnswer(order, false, now);
-        planner.onAnswer(order, true, now);
+        if (randomBits % 4 == 1) // the answer is lost
+            return planner.onResponse(order, false, now);
+        planner.onResponse(order, true, now);
         write(program_released{order.program, order.engine});
     }
     void poll()
     {
-        for (const release_order &order : planner.poll(book, now))
+        for (const release_order &order : planner.poll(registry, now))
             sent.push_back(order);
     }
     void reconcile()
     {
         for (const upstream_id &engine : engines) {
             const std::vector<program_id> held(memory[engine].begin(), memory[engine].end());
-            for (const release_order &order : release_planner::reconcile(book, engine, held))
+            for (const release_order &order : release_planner::reconcile(registry, engine, held))
                 memory[engine].erase(order.program);
         }
     }
@@ -86,29 +86,29 @@
     {
         sent.clear();
         planner = {};
-        book = {};
+        registry = {};
         for (const journal_record &r : durable)
-            book.apply(recordFromJson(toJson(r)).value());
+            registry.apply(recordFromJson(toJson(r)).value());
         for (const program_id &id : idsWithOpenCall()) {
-            const open_call o = *book.find(id)->open;
+            const open_call o = *registry.find(id)->openCall;
             write(call_failed{id, o.turn, o.key, outcome::Unknown, 1});
         }
     }
     std::vector<program_id> idsWithOpenCall() const
     {
         std::vector<program_id> ids;
-        for (const auto &[id, p] : book.programs()) {
-            if (p.open)
+        for (const auto &[id, p] : registry.programs()) {
+            if (p.openCall)
                 ids.push_back(id);
         }
         return ids;
     }
-    int heldForNobody() const
+    int cachedEndedPrograms() const
     {
         int count = 0;
         for (const auto &[engine, programs] : memory) {
             for (const program_id &id : programs)
-                count += book.find(id)->ended ? 1 : 0;
+                count += registry.find(id)->ended ? 1 : 0;
         }
         return count;
     }
@@ -118,27 +118,27 @@
 {
     release_model m;
     for (const unsigned step : steps) {
-        const unsigned luck = step / 16;
-        const unsigned what = step % 16;
+        const unsigned randomBits = step / 16;
+        const unsigned action = step % 16;
         m.now += milliseconds(300);
-        if (m.created == 0 || what == 0)
+        if (m.created == 0 || action == 0)
             m.write(program_created{{"p" + std::to_string(m.created++)}, {}, {}, "", 100, 0, 0});
-        else if (what < 5)
-            m.call(luck);
-        else if (what < 9)
-            m.answer(luck);
-        else if (what == 9)
-            m.write(program_ended{m.any(luck), end_reason::Finished});
-        else if (what < 12)
+        else if (action < 5)
+            m.call(randomBits);
+        else if (action < 9)
+            m.answer(randomBits);
+        else if (action == 9)
+            m.write(program_ended{m.any(randomBits), end_reason::Finished});
+        else if (action < 12)
             m.poll();
-        else if (what < 15)
-            m.deliver(luck);
-        else if (luck % 4 == 0)
+        else if (action < 15)
+            m.deliver(randomBits);
+        else if (randomBits % 4 == 0)
             m.takeOver();
     }
     for (int i = 0; i < 400; ++i) {
         for (const program_id &id : m.idsWithOpenCall()) {
-            const open_call o = *m.book.find(id)->open;
+            const open_call o = *m.registry.find(id)->openCall;
             m.write(call_finished{id, o.turn, o.key, 1, 200, "", ""});
         }
         m.now += seconds(1);
@@ -148,10 +148,10 @@
     }
     if (reconciles)
         m.reconcile();
-    for (const auto &[id, p] : m.book.programs())
+    for (const auto &[id, p] : m.registry.programs())
         RC_ASSERT(!p.ended || p.engines.empty());
     if (reconciles)
-        RC_ASSERT(m.heldForNobody() == 0);
+        RC_ASSERT(m.cachedEndedPrograms() == 0);
 }
 
 program_created idleAfter(const char *id, std::int64_t idleMs)
@@ -172,65 +172,65 @@
                    true);
     }));
 
-    program_book book;
+    program_registry registry;
     release_planner planner;
-    book.apply(idleAfter("p0", 0));
-    book.apply(call_begun{{"p0"}, 1, "k", call_kind::Model, true, 1, engines[0]});
-    book.apply(program_ended{{"p0"}, end_reason::Finished});
+    registry.apply(idleAfter("p0", 0));
+    registry.apply(call_begun{{"p0"}, 1, "k", call_kind::Model, true, 1, engines[0]});
+    registry.apply(program_ended{{"p0"}, end_reason::Finished});
 
     SUBCASE("a call that is under way is waited for")
     {
-        CHECK(planner.poll(book, {}).empty());
-        book.apply(call_finished{{"p0"}, 1, "k", 1, 200, "", ""});
-        CHECK(planner.poll(book, {}).size() == 1);
+        CHECK(planner.poll(registry, {}).empty());
+        registry.apply(call_finished{{"p0"}, 1, "k", 1, 200, "", ""});
+        CHECK(planner.poll(registry, {}).size() == 1);
     }
     SUBCASE("an engine that left the host list took its memory along, but the list is late")
     {
-        book.apply(call_finished{{"p0"}, 1, "k", 1, 200, "", ""});
-        planner.onEngines({engines[0]}, time_point(seconds(10)));
-        planner.onEngines({engines[1]}, time_point(seconds(100)));
-        CHECK(planner.gone(book, time_point(seconds(100))).empty());
-        CHECK(planner.gone(book, time_point(seconds(131))).size() == 1);
+        registry.apply(call_finished{{"p0"}, 1, "k", 1, 200, "", ""});
+        planner.onListedEngines({engines[0]}, time_point(seconds(10)));
+        planner.onListedEngines({engines[1]}, time_point(seconds(100)));
+        CHECK(planner.ordersForLostEngines(registry, time_point(seconds(100))).empty());
+        CHECK(planner.ordersForLostEngines(registry, time_point(seconds(131))).size() == 1);
     }
 }
 
 TEST_CASE("A program that never says that it ends")
 {
-    program_book book;
+    program_registry registry;
     program_reaper reaper;
-    book.apply(idleAfter("p0", 1000));
+    registry.apply(idleAfter("p0", 1000));
     const auto at = [](int ms) { return time_point(milliseconds(ms)); };
-    CHECK(reaper.tick(book, at(0), 0).empty());
+    CHECK(reaper.findDue(registry, at(0), 0).empty());
 
     SUBCASE("expires when its class says so")
     {
-        CHECK(reaper.tick(book, at(999), 0).empty());
-        const auto due = reaper.tick(book, at(1000), 0);
+        CHECK(reaper.findDue(registry, at(999), 0).empty());
+        const auto due = reaper.findDue(registry, at(1000), 0);
         REQUIRE(due.size() == 1);
         CHECK(due[0].reason == end_reason::Expired);
-        book.apply(due[0]);
-        CHECK(reaper.tick(book, at(5000), 0).empty());
+        registry.apply(due[0]);
+        CHECK(reaper.findDue(registry, at(5000), 0).empty());
     }
     SUBCASE("is not idle while it calls or a sub-agent does")
     {
         program_created child = idleAfter("p0.1", 0);
         child.parent = {"p0"};
-        book.apply(child);
-        CHECK(reaper.tick(book, at(900), 0).empty());
-        book.apply(call_begun{{"p0.1"}, 1, "k", call_kind::Tool, true, 0});
-        CHECK(reaper.tick(book, at(3000), 0).empty());
-        book.apply(call_finished{{"p0.1"}, 1, "k", 0, 200, "", ""});
-        CHECK(reaper.tick(book, at(3900), 0).empty());
-        CHECK(reaper.tick(book, at(4900), 0).size() == 1);
+        registry.apply(child);
+        CHECK(reaper.findDue(registry, at(900), 0).empty());
+        registry.apply(call_begun{{"p0.1"}, 1, "k", call_kind::Tool, true, 0});
+        CHECK(reaper.findDue(registry, at(3000), 0).empty());
+        registry.apply(call_finished{{"p0.1"}, 1, "k", 0, 200, "", ""});
+        CHECK(reaper.findDue(registry, at(3900), 0).empty());
+        CHECK(reaper.findDue(registry, at(4900), 0).size() == 1);
     }
     SUBCASE("ends at its deadline, once its call has ended")
     {
         program_created late = idleAfter("p1", 0);
         late.deadlineUnixMs = 50;
-        book.apply(late);
-        book.apply(call_begun{{"p1"}, 1, "k", call_kind::Tool, true, 0});
-        CHECK(reaper.tick(book, at(10), 60).empty());
-        book.apply(call_finished{{"p1"}, 1, "k", 0, 200, "", ""});
-        CHECK(reaper.tick(book, at(20), 60).at(0).reason == end_reason::DeadlinePassed);
+        registry.apply(late);
+        registry.apply(call_begun{{"p1"}, 1, "k", call_kind::Tool, true, 0});
+        CHECK(reaper.findDue(registry, at(10), 60).empty());
+        registry.apply(call_finished{{"p1"}, 1, "k", 0, 200, "", ""});
+        CHECK(reaper.findDue(registry, at(20), 60).at(0).reason == end_reason::DeadlinePassed);
     }
 }
