--- a/src/program/program.h
+++ b/src/program/program.h
@@ -10,7 +10,7 @@
 
 namespace azurehill {
 
-/// \brief A call that has begun and has no durable end yet.
+/// \brief A call that has begun and whose end is not durable yet.
 struct open_call
 {
     std::int64_t turn = 0;
@@ -20,18 +20,18 @@
     std::int64_t reservedTokens = 0;
 };
 
-/// \brief How a turn ended, kept for a repeated request.
+/// \brief The result of a finished turn, kept to answer retries of the same request.
 struct closed_call
 {
     std::string key;
-    /// Nothing when the answer is known; otherwise what is known of the run.
+    /// Empty if the response is known; otherwise whether the call ran.
     std::optional<outcome> failed;
     int status = 0;
     std::string reply;
     std::string contentType = "application/json";
 };
 
-/// \brief State of one program, built from its journal records alone.
+/// \brief State of one program, derived only from its journal records.
 struct program
 {
     program_id id;
@@ -45,23 +45,23 @@
     std::int64_t idleMs = 0;
     std::vector<program_id> children;
 
-    /// Messages of all finished turns, the elements of a JSON array without its brackets.
+    /// Messages of all finished turns: the elements of a JSON array, without the brackets.
     std::string history;
-    /// Most tokens that the history makes as a prompt.
+    /// Upper bound on the prompt tokens of the history.
     std::int64_t historyTokens = 0;
-    /// Spent and reserved by the program and all below it.
+    /// Tokens spent and reserved by the program and all its descendants.
     std::int64_t spentTokens = 0;
     std::int64_t reservedTokens = 0;
     std::int64_t lastTurn = 0;
     std::optional<open_call> openCall;
-    /// Turn under which each key was used; a key never goes out under a second turn.
+    /// The turn of each idempotency key; a key is never sent under a second turn.
     std::map<std::string, std::int64_t> turnByKey;
     std::map<std::int64_t, closed_call> closedCalls;
     std::optional<end_reason> ended;
-    /// Engines that may hold the program's cache.
+    /// Engines whose KV cache may hold data of the program.
     std::set<upstream_id> engines;
 
-    /// \returns tokens of its own budget that are neither spent nor reserved.
+    /// \returns the tokens of the program's own budget that are neither spent nor reserved.
     std::int64_t freeTokens() const;
 };
 
--- a/src/program/program_reaper.cpp
+++ b/src/program/program_reaper.cpp
@@ -10,7 +10,8 @@
     bool callOpen = false;
 };
 
-/// \returns a number that grows with whatever \p p and the programs below it do.
+/// \returns the activity of \p p and its descendants; its stamp increases with each turn and each
+/// spent token.
 family_activity activityOf(const program_registry &registry, const program &p)
 {
     family_activity a{p.lastTurn + p.spentTokens + 1, p.openCall.has_value()};
--- a/src/program/program_reaper.h
+++ b/src/program/program_reaper.h
@@ -7,15 +7,15 @@
 
 namespace azurehill {
 
-/// \brief Finds the programs that never say that they end.
+/// \brief Idle and deadline timeouts of programs whose callers never end them explicitly.
 ///
-/// How long a program is idle is counted by its owner and starts anew with each owner, so that no
-/// write is needed to say that a program lives.
+/// The owner measures the idle time, and a new owner restarts it from zero, so that activity needs
+/// no write to the store.
 class program_reaper
 {
 public:
-    /// \returns the ends that are due: idle for longer than the class allows, or past the deadline
-    /// with no call under way in the program or below it.
+    /// \returns the programs to end: idle for longer than their class allows or past their
+    /// deadline, with no call in progress in the program or its descendants.
     std::vector<program_ended> findDue(const program_registry &registry, time_point now,
                                        std::int64_t nowUnixMs);
 
--- a/src/program/program_registry.cpp
+++ b/src/program/program_registry.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// What the chat template may put around the reply when it comes back as part of a prompt.
+/// Upper bound on the tokens that the chat template adds around a reply when the reply becomes part
+/// of a prompt.
 constexpr std::int64_t chatTemplateTokens = 16;
 
 tl::unexpected<refusal> refuse(refusal_reason reason, std::string detail)
@@ -90,16 +91,16 @@
     if (const auto it = p->turnByKey.find(request.key);
         it != p->turnByKey.end() && it->second != request.turn) {
         return refuse(refusal_reason::KeyReused,
-                      fmt::format("the key was used for turn {}", it->second));
+                      fmt::format("the key was already used for turn {}", it->second));
     }
     if (p->openCall && p->openCall->turn == request.turn) {
         if (p->openCall->key != request.key)
-            return refuse(refusal_reason::KeyReused, "the turn is under way with another key");
+            return refuse(refusal_reason::KeyReused, "the turn is in progress under another key");
         return attach_to_call{*p->openCall};
     }
     if (const auto it = p->closedCalls.find(request.turn); it != p->closedCalls.end()) {
         if (it->second.key != request.key)
-            return refuse(refusal_reason::KeyReused, "the turn has ended with another key");
+            return refuse(refusal_reason::KeyReused, "the turn has ended under another key");
         return replay_answer{it->second};
     }
     if (auto rejection = refusalIfEnded(*p, nowUnixMs))
@@ -109,19 +110,19 @@
         return wait_for_previous_turn{};
     if (request.turn != next) {
         return refuse(refusal_reason::TurnOutOfOrder,
-                      fmt::format("turn {} came, turn {} comes next", request.turn, next));
+                      fmt::format("got turn {}, expected turn {}", request.turn, next));
     }
     if (p->maxTurns != 0 && request.turn > p->maxTurns) {
         return refuse(refusal_reason::TooManyTurns,
                       fmt::format("the class allows {} turns", p->maxTurns));
     }
-    // The prompt of a model call is the whole history and the new messages.
+    // The prompt of a model call consists of the whole history and the new messages.
     const std::int64_t needed
         = request.reserveTokens + (request.kind == call_kind::Model ? p->historyTokens : 0);
     const std::int64_t free = freeTokens(request.program);
     if (needed > free) {
         return refuse(refusal_reason::BudgetExhausted,
-                      fmt::format("{} tokens wanted, {} free", needed, free));
+                      fmt::format("{} tokens requested, {} available", needed, free));
     }
     return begin_call{call_begun{request.program, request.turn, request.key, request.kind,
                                  request.idempotent, needed}};
@@ -217,8 +218,9 @@
 {
     if (!p.openCall || p.openCall->turn != r.turn || p.openCall->key != r.key)
         return;
-    // A model only reads and writes text, so its turn may run again after a death in mid-stream;
-    // each attempt is charged. Closed as unknown, the turn could never get its whole answer.
+    // A model call has no side effects, so its turn may run again after a daemon failed in
+    // mid-stream; each attempt is charged. If it were closed as unknown, the caller could never get
+    // the complete response.
     const bool repeatable = p.openCall->kind == call_kind::Model || p.openCall->idempotent;
     settle(p, r.spentTokens);
     if (r.ran == outcome::DidNotRun || repeatable)
--- a/src/program/program_registry.h
+++ b/src/program/program_registry.h
@@ -13,7 +13,7 @@
 
 namespace azurehill {
 
-/// \brief A caller's request to make the next call of a program.
+/// \brief A caller's request for the next call of a program.
 struct call_request
 {
     program_id program;
@@ -21,60 +21,62 @@
     std::string key;
     call_kind kind = call_kind::Model;
     bool idempotent = true;
-    /// Most tokens that the call takes, apart from the history before it.
+    /// Upper bound on the tokens of the call, without the preceding history.
     std::int64_t reserveTokens = 0;
 };
 
-/// \brief The call may begin once its record is durable.
+/// \brief The call may begin as soon as its record is durable.
 struct begin_call
 {
     call_begun record;
 };
-/// \brief The same call is under way: follow it.
+/// \brief The same call is in progress: follow its response.
 struct attach_to_call
 {
     open_call call;
 };
-/// \brief The call has ended before: give its stored answer.
+/// \brief The call has already ended: return its stored response.
 struct replay_answer
 {
     closed_call call;
 };
-/// \brief The call comes next after one that is still under way: ask again when that has ended.
+/// \brief The preceding call is still in progress: decide again once it has ended.
 struct wait_for_previous_turn
 { };
 
 using call_decision
     = std::variant<begin_call, attach_to_call, replay_answer, wait_for_previous_turn>;
 
-/// \brief The programs that this daemon owns.
+/// \brief Registry of the programs that this daemon owns, built by replaying their journal records.
 ///
-/// Requests are checked here and answered with records; apply() alone changes state, so replaying
-/// the same records gives the same state on any daemon. A sub-agent spends from its own budget and
-/// from that of every program above it, and ends with any of them.
+/// decide() checks requests and returns the journal records to write. Only apply() changes the
+/// state, so replaying the same records gives the same state on any daemon. A sub-agent spends from
+/// its own budget and from the budgets of all its ancestors, and ends when any of them ends.
 class program_registry
 {
 public:
-    /// \brief Decides what becomes of \p request at calendar time \p nowUnixMs.
+    /// \brief Decides how to handle \p request at wall-clock time \p nowUnixMs.
     tl::expected<call_decision, refusal> decide(const call_request &request,
                                                 std::int64_t nowUnixMs) const;
 
-    /// \returns nothing, or why \p created can't be created at calendar time \p nowUnixMs.
+    /// \returns success, or why \p created can't be created at wall-clock time \p nowUnixMs.
     tl::expected<void, refusal> checkCreation(const program_created &created,
                                               std::int64_t nowUnixMs) const;
 
-    /// \brief Changes the state by \p record. Records of unknown programs, and ends of calls
-    /// that are not open, change nothing.
+    /// \brief Applies \p record to the state. Records of unknown programs and ends of calls that
+    /// are not open have no effect.
     void apply(const journal_record &record);
 
     const program *find(const program_id &id) const;
     const std::unordered_map<program_id, program> &programs() const { return m_programs; }
-    /// \brief Drops one program, as if its creation had not been applied.
+    /// \brief Removes one program, as if its creation had not been applied.
     void erase(const program_id &id);
-    /// \brief Drops the whole family of \p id, which is no longer owned or must be read again.
+    /// \brief Removes the family of \p id (its root program and all descendants), because it is no
+    /// longer owned or has to be reloaded.
     void eraseFamily(const program_id &id);
 
-    /// \returns tokens that the family of \p id may still reserve.
+    /// \returns the tokens that \p id may still reserve within its own budget and those of its
+    /// ancestors.
     std::int64_t freeTokens(const program_id &id) const;
 
 private:
--- a/src/program/programs.h
+++ b/src/program/programs.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief The programs that a daemon owns: order of calls, budget, history, idempotency keys.
+/// \brief Programs that a daemon owns: call order, budget, history and idempotency keys.
 
 #include "program/program.h"
 #include "program/program_reaper.h"
--- a/src/program/refusal.h
+++ b/src/program/refusal.h
@@ -8,7 +8,7 @@
 
 namespace azurehill {
 
-/// \brief Why a request is not carried out. Each of these says that it did not run.
+/// \brief Why a request is rejected. For each of these reasons the call did not run.
 enum class refusal_reason {
     UnknownProgram,
     ProgramEnded,
@@ -37,7 +37,7 @@
 {
     refusal_reason reason = refusal_reason::UnknownProgram;
     std::string detail;
-    /// When coming back makes sense.
+    /// Delay after which a retry may succeed.
     std::optional<duration> retryAfter;
 };
 
--- a/src/program/release_planner.cpp
+++ b/src/program/release_planner.cpp
@@ -8,12 +8,13 @@
 
 constexpr duration initialReleaseRetryDelay = seconds(1);
 constexpr duration maxReleaseRetryDelay = seconds(30);
-/// The host list is late: an engine that it doesn't name may be back after a moment.
+/// The host list lags: an engine that is missing from it may be listed again shortly after.
 constexpr duration engineAbsenceTimeout = seconds(120);
-/// Bound on what one poll asks for, so that a mass end doesn't flood the engines.
+/// Limit on concurrent releases, so that the end of many programs at once doesn't flood the
+/// engines.
 constexpr std::size_t maxReleasesInFlight = 32;
 
-/// A call that is under way would fill the engine's memory again after its release.
+/// A call in progress would fill the engine's cache again after the release.
 bool isReleasable(const program &p)
 {
     return p.ended && !p.openCall;
--- a/src/program/release_planner.h
+++ b/src/program/release_planner.h
@@ -8,7 +8,7 @@
 
 namespace azurehill {
 
-/// \brief An engine is to be told that it may drop what it holds of a program.
+/// \brief Order to an engine to free the KV cache of a program.
 struct release_order
 {
     program_id program;
@@ -17,26 +17,28 @@
     friend auto operator<=>(const release_order &, const release_order &) = default;
 };
 
-/// \brief Decides which engines are told that a program has ended.
+/// \brief Schedules the cache releases of ended programs, with retries and exponential backoff.
 ///
-/// The list of what is to be released is the book itself: ended programs with engines that have not
-/// confirmed. It is durable, so a successor goes on where the owner before it stopped.
+/// The pending releases are derived from the program_registry: ended programs with engines that
+/// have not confirmed their release. That state is durable, so a new owner continues where the
+/// previous one stopped.
 class release_planner
 {
 public:
-    /// \brief Takes in the engines that the host list names.
+    /// \brief Records that the host list of \p now contains the engines \p listed.
     void onListedEngines(const std::set<upstream_id> &listed, time_point now);
-    /// \returns the orders to send at \p now, each once until onAnswer().
+    /// \returns the orders to send at \p now. An order is not returned again before onResponse().
     std::vector<release_order> poll(const program_registry &registry, time_point now);
-    /// \brief Takes in whether the engine confirmed \p order.
+    /// \brief Records whether the engine confirmed \p order.
     void onResponse(const release_order &order, bool confirmed, time_point now);
-    /// \returns the engines that are gone, with their memory: their releases count as confirmed.
+    /// \returns the pending orders for engines that have left the host list. Their caches are gone,
+    /// so these releases count as confirmed.
     std::vector<release_order> ordersForLostEngines(const program_registry &registry,
                                                     time_point now) const;
 
-    /// \returns what \p engine holds for no living program. \p held are programs that it
-    /// reports and that this daemon owns and has loaded; one that the book doesn't know never was
-    /// durable or has been forgotten.
+    /// \returns the orders for caches that \p engine holds for programs that have ended or are
+    /// unknown. \p held are programs that the engine reports and that this daemon owns and has
+    /// loaded; a program that is missing from \p registry never was durable or has been erased.
     static std::vector<release_order> reconcile(const program_registry &registry,
                                                 const upstream_id &engine,
                                                 const std::vector<program_id> &held);
--- a/test/logic/program_registry_test.cpp
+++ b/test/logic/program_registry_test.cpp
@@ -29,17 +29,18 @@
     return true;
 }
 
-/// A family of programs, their callers, the journal, and the daemon that dies now and then.
+/// Model of a family of programs with its callers, its journal, and a daemon that crashes.
 struct family_model
 {
     program_registry registry;
     std::vector<journal_record> durable;
     std::vector<journal_record> pending;
     std::vector<program_id> ids;
-    /// Sends by program and key of non-idempotent calls, and what each finished turn added.
+    /// Number of sends of each non-idempotent call by program and key.
     std::map<std::pair<program_id, std::string>, int> sent;
+    /// Messages that each finished turn added to the history.
     std::map<program_id, std::vector<std::string>> turns;
-    /// Calls that went out and whose owner lives.
+    /// Calls that were sent and whose owner has not crashed since.
     std::map<program_id, call_begun> running;
     std::int64_t nowMs = 1;
 
@@ -130,9 +131,9 @@
                                   model ? 1 + randomBits / 64 % c.reservedTokens : 0, 200, messages,
                                   "reply"});
         }
-        commitAll(); // the caller sees an end after its commit
+        commitAll(); // the caller sees the end of a call only after its commit
     }
-    /// The daemon dies; another one reads the journal and settles what was open.
+    /// The daemon crashes; another one replays the journal and closes the open calls.
     void crash()
     {
         pending.clear();
@@ -248,8 +249,8 @@
 
     SUBCASE("what its sub-agents have reserved is not free")
     {
-        // Two sub-agents and their parent start calls at the same moment. Each alone fits the
-        // budget; together they would spend more than there is.
+        // Guards against overspending when two sub-agents and their parent start calls at the same
+        // time: each call fits the budget alone, but not all of them together.
         registry.apply(call_begun{child, 1, "a", call_kind::Model, true, 800});
         CHECK(registry.freeTokens(parent) == 200);
         CHECK(registry.decide(r, 0).error().reason == refusal_reason::BudgetExhausted);
@@ -271,8 +272,8 @@
 
 TEST_CASE("A sub-agent whose creation meets the end of its parent ends with it")
 {
-    // The parent ends while the sub-agent's creation waits for its commit; a sub-agent that lived
-    // on would hold engine memory with nobody to end it.
+    // Guards against a leak of engine memory: if the parent ends while the creation of a sub-agent
+    // waits for its commit, and the sub-agent stayed alive, no caller would ever end it.
     program_registry registry;
     registry.apply(root(1000));
     registry.apply(program_ended{{"p00"}, end_reason::Finished});
@@ -292,7 +293,8 @@
 
     SUBCASE("not under another turn")
     {
-        // A caller lost its place and repeats its payment under the next turn.
+        // Guards against a caller that loses track of its turns and repeats a payment under the
+        // next turn.
         registry.apply(call_finished{id, 1, "k", 0, 200, "", "receipt"});
         const auto decision = registry.decide({id, 2, "k", call_kind::Tool, false, 0}, 0);
         CHECK(decision.error().reason == refusal_reason::KeyReused);
--- a/test/logic/release_test.cpp
+++ b/test/logic/release_test.cpp
@@ -12,7 +12,7 @@
 
 const std::vector<upstream_id> engines = {{"e0"}, {"e1"}};
 
-/// Programs of one daemon, two engines with memory, and a network that loses answers.
+/// Model of the programs of one daemon, two engines with caches, and a network that loses messages.
 struct release_model
 {
     program_registry registry;
@@ -40,7 +40,8 @@
         const upstream_id &engine = engines[randomBits / 16 % 2];
         const std::int64_t turn = p.lastTurn + 1;
         write(call_begun{p.id, turn, std::to_string(turn), call_kind::Model, true, 1, engine});
-        memory[randomBits / 32 % 8 == 0 ? engines[1] : engine].insert(p.id); // moved before it ran
+        memory[randomBits / 32 % 8 == 0 ? engines[1] : engine].insert(
+            p.id); // rerouted before it ran
     }
     void answer(unsigned randomBits)
     {
@@ -61,10 +62,10 @@
         sent.pop_back();
         const program *p = registry.find(order.program);
         RC_ASSERT(!p || (p->ended && !p->openCall));
-        if (randomBits % 4 == 0) // never arrived
+        if (randomBits % 4 == 0) // the order was lost
             return planner.onResponse(order, false, now);
         memory[order.engine].erase(order.program);
-        if (randomBits % 4 == 1) // the answer is lost
+        if (randomBits % 4 == 1) // the response was lost
             return planner.onResponse(order, false, now);
         planner.onResponse(order, true, now);
         write(program_released{order.program, order.engine});
