--- a/src/turns/row_retention_tracker.h
+++ b/src/turns/row_retention_tracker.h
@@ -8,30 +8,31 @@
 
 namespace azurehill {
 
-/// \brief Remembers which rows this daemon added, and when nobody may need them any more.
+/// \brief Tracks the retention time of the rows that this daemon wrote, by program.
 ///
-/// The store forgets nothing by itself. The daemon that added a program's last turn removes the
-/// program's rows once the retention of that turn is over; a row of a later version tells that
-/// another daemon added a turn later, which then is that daemon's to remove.
+/// The store has no expiry of its own. The daemon that added a program's last turn removes the
+/// program's rows once the retention time of that turn is over. A row of a later version shows that
+/// another daemon has added a turn since; that daemon is then responsible for the removal.
 class row_retention_tracker
 {
 public:
-    /// \brief A turn of \p program was added; its rows are needed until \p until.
-    /// \param version of the rows that were written with that turn.
+    /// \brief Records that a turn of \p program was added; its rows are kept until \p until.
+    /// \param version version of the rows that were written with that turn.
     void onTurnAdded(const program_id &program, const turn_id &id, store_version version,
                      time_point until);
-    /// \brief The account of \p program changed and no turn was added.
+    /// \brief Records that the account of \p program changed without a new turn.
     void onAccountChanged(const program_id &program, store_version version, time_point until);
 
-    /// \brief Programs whose rows may go, and the turns that this daemon added to them.
+    /// \brief A program whose rows may be removed, with the turns that this daemon added to it.
     struct expired_program
     {
         program_id program;
-        /// Version of the newest rows that this daemon wrote with a turn.
+        /// Version of the newest rows that this daemon wrote for the program.
         store_version version = 0;
         std::vector<turn_id> turns;
     };
-    /// \returns up to \p most programs that are due at \p now, and forgets them.
+    /// \brief Removes up to \p maxPrograms programs whose retention time is over at \p now from the
+    /// tracker. \returns them.
     std::vector<expired_program> takeExpired(time_point now, std::size_t maxPrograms);
     std::size_t size() const { return m_programs.size(); }
 
--- a/src/turns/store_calls.h
+++ b/src/turns/store_calls.h
@@ -8,21 +8,22 @@
 
 namespace azurehill {
 
-/// Longest wait for one answer of the store. It answers in a few milliseconds; fifty times slower
-/// is still below this, and a connection that went silent costs no more than this.
+/// Timeout of one call to the store. The store usually responds within a few milliseconds, and even
+/// fifty times that is below this limit. A connection that stops responding costs no more than
+/// this.
 constexpr duration storeAttemptTimeout = milliseconds(800);
-/// Pause before a call that failed is made again; doubled each time, since hundreds of turns may
-/// wait for the same outage to end and the store's calls are limited.
+/// Exponential backoff between attempts of a failed call. Hundreds of turns may wait for the same
+/// outage to end, and the store limits the rate of calls.
 constexpr duration minStoreRetryDelay = milliseconds(40);
 constexpr duration maxStoreRetryDelay = milliseconds(640);
 
-/// \returns when one call has to be answered whose caller waits until \p deadline.
+/// \returns the deadline of one call to the store by a caller whose own deadline is \p deadline.
 inline time_point storeAttemptDeadline(time_point deadline)
 {
     return std::min(deadline, runtime_clock::now() + storeAttemptTimeout);
 }
 
-/// \returns the row \p name of \p rows if it exists, or null.
+/// \returns the existing row \p name in \p rows, or null.
 inline const stored_row *findRow(const std::vector<stored_row> &rows, const row_name &name)
 {
     for (const stored_row &row : rows) {
--- a/src/turns/token_account.cpp
+++ b/src/turns/token_account.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// More than any program spends, and far below what makes sums run over.
+/// More than any program spends, and small enough that sums don't overflow.
 constexpr std::int64_t maxAccountTokens = 1'000'000'000'000'000;
 
-/// \returns the number in \p value. \throws if it is none that an account can have.
+/// \returns the number of tokens in \p value. \throws std::exception if it is not a valid one.
 std::int64_t parseTokens(const json::value &value)
 {
     const auto tokens = value.to_number<std::int64_t>();
@@ -57,7 +57,8 @@
         account.timeBudgetMs = document.at("aim").to_number<std::int64_t>();
         return account;
     } catch (const std::exception &) {
-        // The caller logs the row's name: nothing of the program may run on a guess.
+        // The caller logs the row's name and refuses the program's turns, since what the program
+        // has spent is unknown.
         return std::nullopt;
     }
 }
--- a/src/turns/turn.cpp
+++ b/src/turns/turn.cpp
@@ -11,7 +11,7 @@
 
 turn::~turn()
 {
-    // A chain of many turns would otherwise be destroyed by as many nested calls.
+    // Destroys a long chain iteratively; recursive destructor calls could overflow the stack.
     turn_ptr next = std::move(previous);
     while (next && next.use_count() == 1)
         next = std::move(std::const_pointer_cast<turn>(next)->previous);
@@ -47,8 +47,8 @@
     return prompt;
 }
 
-// A row holds a line of JSON, then the bytes of the input and those of the output: both may be
-// anything, which JSON can't carry.
+// The value consists of a line of JSON followed by the bytes of the input and of the output, which
+// may be arbitrary binary data that JSON can't represent.
 std::string encodeTurn(const turn &t)
 {
     json::object head;
@@ -69,8 +69,9 @@
 
 namespace {
 
-/// \returns the replica that \p head names. Daemons of earlier versions wrote no birth: theirs is
-/// unknown and so matches no process that told one, which only costs reading the prompt again.
+/// \returns the replica in \p head. Daemons of earlier versions wrote no start time: it is then
+/// unknown and matches no process that reported one, which only costs another prefill of the
+/// prompt.
 replica_incarnation decodeReplica(const json::object &head)
 {
     const json::value *born = head.if_contains("replica_born");
@@ -78,8 +79,8 @@
             born ? born->to_number<std::int64_t>() : 0};
 }
 
-/// \returns the tokens that \p head charges. Daemons of earlier versions settled them with the
-/// turn.
+/// \returns the tokens that the turn of \p head is charged. Daemons of earlier versions settled the
+/// account in the transaction that added the turn and did not store them here.
 std::optional<std::int64_t> decodeUsed(const json::object &head)
 {
     const json::value *used = head.if_contains("used");
@@ -91,7 +92,7 @@
     return tokens;
 }
 
-/// \returns the account that \p head names, if it names one.
+/// \returns the client account in \p head, if there is one.
 std::optional<account_id> decodeAccountId(const json::object &head)
 {
     const json::value *name = head.if_contains("account");
--- a/src/turns/turn.h
+++ b/src/turns/turn.h
@@ -11,34 +11,36 @@
 
 namespace azurehill {
 
-/// \brief Id of a turn: the id of the client's attempt that it answered.
+/// \brief Id of a turn: the id of the client request that it answered.
 using turn_id = basic_id<struct turn_tag>;
 
 struct turn;
 using turn_ptr = std::shared_ptr<const turn>;
 
-/// \brief A turn that was answered whole. Turns that continue from the same one share it.
+/// \brief A completed turn: one model call of a program with its input and complete output. Turns
+/// form a tree: those that continue from the same turn share it.
 struct turn
 {
     turn_id id;
-    /// The program whose part of the store holds the turn.
+    /// The program whose store partition holds the turn.
     program_id program;
-    /// The turn before, or null at the start of a chain.
+    /// The preceding turn, or null at the start of a chain.
     turn_ptr previous;
-    /// What the client sent.
+    /// The input that the client sent.
     std::string input;
-    /// The data of each event of the answer, each followed by a line feed.
+    /// The data of each event of the response stream, each followed by a line feed.
     std::string output;
-    /// The replica that answered, whose cache probably still holds the prompt as long as its
-    /// process lives.
+    /// The replica that answered. Its KV cache probably holds the prompt until its process
+    /// restarts.
     replica_incarnation replica;
-    /// Tokens of the prompt and the answer, as far as the client said.
+    /// Tokens of the prompt and the response, as stated by the client.
     std::int64_t tokens = 0;
-    /// Tokens of the answer, which its program's budget is charged; nothing if the row does not
-    /// say.
+    /// Output tokens, which are charged to the program's budget; empty if the row does not state
+    /// them.
     std::optional<std::int64_t> chargedTokens;
-    /// The client account whose turn it is, empty for nobody's; nothing if the row does not say.
-    /// Such a row was written before turns had accounts, and any account may continue from it.
+    /// The client account that owns the turn; an empty id if none does. No value if the row does
+    /// not state it: such a row was written before turns had accounts, and any account may continue
+    /// from it.
     std::optional<account_id> account = account_id();
 
     turn() = default;
@@ -53,24 +55,24 @@
 bool mayContinue(const turn &t, const account_id &account);
 
 /// \returns the prompt of a turn that follows \p last: inputs and outputs of the whole chain,
-/// oldest first, and then \p input.
+/// oldest first, followed by \p input.
 std::string buildPrompt(const turn_ptr &last, std::string_view input);
 
-/// \returns the turns from the oldest to \p last.
+/// \returns the chain of turns that ends with \p last, oldest first.
 std::vector<turn_ptr> chainOf(const turn_ptr &last);
 
-/// \returns \p t as the value of a row; the turns before it are named, not contained.
+/// \returns \p t encoded as a row value. The preceding turn is referenced by its id.
 std::string encodeTurn(const turn &t);
 
-/// \brief A turn as read from a row, before its chain is put together.
+/// \brief A turn as decoded from its rows, not yet linked to the preceding turn.
 struct decoded_turn
 {
     turn value;
-    /// Empty at the start of a chain.
+    /// Id of the preceding turn; empty at the start of a chain.
     turn_id previous;
 };
 
-/// \returns the turn in \p row, or nothing when it can't be read.
+/// \returns the turn in \p row, or nothing if it can't be decoded.
 std::optional<decoded_turn> decodeTurn(std::string_view row);
 
 } // namespace azurehill
--- a/src/turns/turn_cache.cpp
+++ b/src/turns/turn_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// What a turn takes beside its texts: ids, map nodes, the shared pointer.
+/// Memory of a turn besides its texts: ids, map nodes, the shared pointer.
 constexpr std::size_t overheadBytes = 512;
 
 std::size_t sizeOf(const turn &t)
--- a/src/turns/turn_cache.h
+++ b/src/turns/turn_cache.h
@@ -7,17 +7,17 @@
 
 namespace azurehill {
 
-/// \brief Turns that this daemon answered or read lately. What it lacks is in the store.
+/// \brief LRU cache of turns that this daemon answered or read recently. The store holds all turns.
 class turn_cache
 {
 public:
-    /// \param maxBytes bound on the texts of the turns that are kept.
+    /// \param maxBytes limit on the memory of the cached turns. The newest turn is always kept.
     explicit turn_cache(std::size_t maxBytes) : m_maxBytes(maxBytes) { }
 
-    /// \returns the turn, or null.
+    /// \returns the turn, or null. Marks it as used.
     turn_ptr find(const turn_id &id);
     void insert(const turn_ptr &t, time_point until);
-    /// \brief Forgets what nobody may continue from any more.
+    /// \brief Evicts the turns whose retention time is over at \p now.
     void expire(time_point now);
     std::size_t bytes() const { return m_bytes; }
 
@@ -34,7 +34,7 @@
     std::size_t m_maxBytes;
     std::size_t m_bytes = 0;
     std::unordered_map<turn_id, entry> m_entries;
-    /// The one not used for longest at the front.
+    /// Ids in order of last use, the least recently used first.
     std::list<turn_id> m_lruOrder;
 };
 
--- a/src/turns/turn_ledger.cpp
+++ b/src/turns/turn_ledger.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// In an outage those who wait look this often whether it is over. Looking costs no call.
+/// Interval at which waiting turns check whether a store outage is over. A check makes no call.
 constexpr duration outagePollInterval = milliseconds(20);
-/// How long the account of a broken turn is tried to be settled. What fails stays held, which is
-/// safe: the program may only spend less.
+/// Timeout for settling the hold of a turn that is not committed. If it fails, the tokens stay
+/// held, which is safe: the program can only spend less.
 constexpr duration settleTimeout = seconds(20);
-/// A transaction may carry 1 MB, a third of which base64 takes.
+/// Limit on the values of a transaction. The store accepts 1 MB, a third of which is base64
+/// overhead.
 constexpr std::size_t maxTransactionBytes = 700U << 10U;
-/// Accounts that were not used for this long are read again from the store.
+/// Accounts that have not been used for this long are evicted and read from the store again.
 constexpr duration accountCacheRetention = seconds(90);
-/// Rows stay this much longer than a turn has to be kept: clocks and answers lag.
+/// Margin added to the retention time of rows, for clock differences and late responses.
 constexpr duration removalMargin = seconds(10);
 
 std::size_t bytesOf(const store_transaction &t)
@@ -28,7 +29,7 @@
     return sum;
 }
 
-/// \brief Resumes those who wait for \p freed at \p deadline, so that they can give up.
+/// \brief Notifies \p changeFinished at \p deadline, so that waiting coroutines can time out.
 awaitable<void> notifyAt(std::shared_ptr<notifier> changeFinished, time_point deadline)
 {
     co_await sleepFor(deadline - runtime_clock::now());
@@ -46,10 +47,10 @@
     std::int64_t used = 0;
     /// The turn that a commit adds.
     turn_ptr added;
-    /// The row is written even if nothing is held: a reservation whose answer was lost may still be
-    /// on its way, and only a newer version makes its condition fail.
+    /// Write the row even if nothing is held: a reservation whose response was lost may still
+    /// arrive at the store, and only a newer version of the row makes its condition fail.
     bool forceWrite = false;
-    /// Where the version of the written rows goes, if anybody wants it.
+    /// Receives the version of the written rows, unless null.
     store_version *writtenVersion = nullptr;
 
     write_urgency urgency() const
@@ -59,7 +60,7 @@
         return kind == change_kind::Commit ? write_urgency::End : write_urgency::Upkeep;
     }
 
-    /// \returns whether \p account shows that the step took effect.
+    /// \returns whether \p account already contains the change.
     bool isApplied(const token_account &account) const
     {
         const bool isHeld = account.holds.contains(claim.id.value);
@@ -68,7 +69,7 @@
         return kind == change_kind::Settle && !isHeld && !forceWrite;
     }
 
-    /// \returns \p account after the step, or nothing if the budget does not allow it.
+    /// \returns \p account after the change, or nothing if that would exceed the budget.
     std::optional<token_account> apply(const token_account &account) const
     {
         if (kind == change_kind::Reserve) {
@@ -129,13 +130,13 @@
 void turn_ledger::updateAccount(account_state &state, const std::vector<stored_row> &rows)
 {
     for (const stored_row &row : rows) {
-        // Versions never go back: an answer may be older than what is known here.
+        // Ignores stale rows: a read may return an older version than the cached one.
         if (!turn_rows::isAccountRow(row.name) || row.deleted || row.version <= state.version)
             continue;
         auto account = decodeAccount(row.value);
         state.isUnreadable = !account;
         if (!account) {
-            m_unreadable.tell(log_event::RowUnreadable, row, "not an account");
+            m_unreadable.tell(log_event::RowUnreadable, row, "can't be decoded as a token account");
             continue;
         }
         state.account = std::move(*account);
@@ -213,13 +214,14 @@
     co_return done;
 }
 
-awaitable<void> turn_ledger::waitToRetry(duration pause, time_point deadline)
+awaitable<void> turn_ledger::waitToRetry(duration retryDelay, time_point deadline)
 {
-    // The end of an answer has some four seconds until its client leaves. With a pause, and a call
-    // that the silence swallows, it was written up to 1.4 s after the store's return: of 567
-    // answers cut off in an outage of 4 s more than 460 were cut after its end (logs of 87 hosts).
+    // A client disconnects about four seconds after the last event if the end of its response is
+    // missing. With a backoff delay and one more call that times out, a commit was written up to
+    // 1.4 s after the store had recovered: in an outage of 4 s on 87 hosts, more than 460 of 567
+    // responses that were cut off were cut after the outage had ended.
     if (m_store.isReachable()) {
-        co_await sleepFor(pause);
+        co_await sleepFor(retryDelay);
         co_return;
     }
     while (!m_store.isReachable() && runtime_clock::now() < deadline)
@@ -228,9 +230,9 @@
 
 awaitable<bool> turn_ledger::writeIndexRow(turn_ptr t, time_point deadline)
 {
-    // Before the turn itself: a turn that is there and can't be found would be lost, while an entry
-    // without its turn only costs a read.
-    duration pause = minStoreRetryDelay;
+    // Written before the turn itself: a turn without an index row could not be found, while an
+    // index row without its turn only costs a read.
+    duration retryDelay = minStoreRetryDelay;
     while (runtime_clock::now() < deadline) {
         store_transaction indexWrite;
         indexWrite.urgency = write_urgency::End;
@@ -239,8 +241,8 @@
             = co_await m_store.transact(std::move(indexWrite), storeAttemptDeadline(deadline));
         if (version)
             co_return true;
-        co_await waitToRetry(pause, deadline);
-        pause = std::min(2 * pause, maxStoreRetryDelay);
+        co_await waitToRetry(retryDelay, deadline);
+        retryDelay = std::min(2 * retryDelay, maxStoreRetryDelay);
     }
     co_return false;
 }
@@ -291,9 +293,9 @@
 
 awaitable<bool> turn_ledger::waitForAccount(account_ptr state, time_point deadline)
 {
-    // The daemon's own changes of one account go one after the other: two at once would only make
-    // each other's condition fail. In an outage the one under way may last for 20 s; without a
-    // bound turns were refused after up to 11.8 s (logs of 87 hosts, store silent for 6.7 and 4 s).
+    // The daemon's own changes of an account are serialised: concurrent ones would only make each
+    // other's conditions fail. In an outage, a change may take 20 s. Without this deadline, turns
+    // were refused after up to 11.8 s (87 hosts, store not responding for 6.7 s and 4 s).
     if (state->isChanging) {
         const asio::any_io_executor executor = co_await asio::this_coro::executor;
         spawn(executor, "wakeAt", notifyAt(state->changeFinished, deadline));
@@ -336,11 +338,11 @@
 void turn_ledger::addTurnRows(store_transaction &t, const account_state &state,
                               const account_change &change) const
 {
-    // The same turn must not be added twice by a try whose answer was lost.
+    // Keeps a retry from adding the turn again after an attempt whose response was lost.
     t.conditions.push_back({turn_rows::firstChunk(change.claim.program, change.claim.id), 0});
     for (const turn_ptr &one : chainOf(change.added)) {
-        // A turn of another program is copied, so that a part holds whole chains. So is one whose
-        // rows were removed with the program's part before this daemon began it anew.
+        // Copies turns of other programs, so that a partition holds complete chains. Also copies
+        // own turns whose rows were removed before this daemon created the partition again.
         const bool isKept
             = state.version != 0 && (!state.storedTurns || state.storedTurns->contains(one->id));
         if (one != change.added && one->program == change.claim.program && isKept)
@@ -356,12 +358,12 @@
 awaitable<tl::expected<void, turn_refusal>>
 turn_ledger::commitHeldTurn(account_ptr state, account_change change, time_point deadline)
 {
-    // The account is changed by every turn of the program that begins meanwhile, on any daemon. An
-    // end that depended on it failed at every fourth try (62 hosts, four turns in ten with others
-    // of their program beside them), and sent all writes that shared its call again. Whoever
-    // changes the account next sees the turn's row and charges what it used in place of what is
-    // held.
-    duration pause = minStoreRetryDelay;
+    // Every turn of the program that begins in the meantime, on any daemon, changes the account.
+    // When commits were conditional on the account, every fourth attempt failed (62 hosts, four in
+    // ten turns running in parallel with others of their program), and all writes batched into the
+    // same call had to be repeated. Instead, the next change of the account finds the turn's row
+    // and replaces the hold by the tokens used.
+    duration retryDelay = minStoreRetryDelay;
     while (runtime_clock::now() < deadline) {
         store_transaction t;
         t.urgency = change.urgency();
@@ -370,7 +372,7 @@
             co_return tl::unexpected(turn_refusal::TooLarge);
         const auto version
             = co_await m_store.transact(std::move(t), storeAttemptDeadline(deadline));
-        // A conflict: an earlier try took effect.
+        // A conflict means that an earlier attempt took effect.
         if (version || version.error().kind == store_error_kind::Conflict) {
             if (version)
                 *change.writtenVersion = *version;
@@ -382,8 +384,8 @@
                 settleEndedTurns(*state);
             co_return tl::expected<void, turn_refusal>();
         }
-        co_await waitToRetry(pause, deadline);
-        pause = std::min(2 * pause, maxStoreRetryDelay);
+        co_await waitToRetry(retryDelay, deadline);
+        retryDelay = std::min(2 * retryDelay, maxStoreRetryDelay);
     }
     co_return tl::unexpected(turn_refusal::StoreUnavailable);
 }
@@ -409,7 +411,7 @@
 awaitable<bool> turn_ledger::refreshAccount(account_ptr state, program_id program,
                                             time_point deadline)
 {
-    // With the turns: those that ended are charged less than what is held for them.
+    // Reads the turns as well: the holds of ended turns are replaced by the tokens they used.
     row_range range = turn_rows::programRange(program);
     const auto page = co_await m_store.read(std::move(range), deadline);
     if (!page)
@@ -427,11 +429,11 @@
     const row_name accountRow = turn_rows::account(change.claim.program);
     const row_name firstChunk = turn_rows::firstChunk(change.claim.program, change.claim.id);
     bool isFresh = false;
-    duration pause = minStoreRetryDelay;
+    duration retryDelay = minStoreRetryDelay;
     state->isUnreadable = false;
     while (runtime_clock::now() < deadline) {
-        // Nobody knows what the program has spent, so it must get neither a fresh budget nor a
-        // refusal for good. Asking again would only show the same row.
+        // The tokens spent are unknown, so the program must get neither a new budget nor a
+        // permanent refusal. A retry would only read the same row.
         if (state->isUnreadable)
             co_return unavailable;
         settleEndedTurns(*state);
@@ -441,13 +443,13 @@
         if (!next && isFresh)
             co_return tl::unexpected(turn_refusal::BudgetSpent);
         if (!next) {
-            // What is known here may be old: only the store's own row may refuse a turn.
+            // The cached account may be out of date: only a row just read may refuse a turn.
             isFresh = co_await refreshAccount(state, change.claim.program,
                                               storeAttemptDeadline(deadline));
             if (!isFresh && !m_store.isReachable())
                 co_return unavailable;
             if (!isFresh)
-                co_await waitToRetry(pause, deadline);
+                co_await waitToRetry(retryDelay, deadline);
             continue;
         }
         store_transaction t = transactionOf(*state, change, *next);
@@ -455,11 +457,12 @@
         if (isTooLarge && (isFresh || state->version != 0))
             co_return tl::unexpected(turn_refusal::TooLarge);
         if (isTooLarge) {
-            // An account that is not known here may be there: then its part holds the chain.
+            // The account may exist without being cached: then its partition already holds the
+            // chain.
             isFresh = co_await refreshAccount(state, change.claim.program,
                                               storeAttemptDeadline(deadline));
             if (!isFresh)
-                co_await sleepFor(pause);
+                co_await sleepFor(retryDelay);
             continue;
         }
         const auto version
@@ -472,7 +475,8 @@
             co_return tl::expected<void, turn_refusal>();
         }
         if (version.error().kind == store_error_kind::Conflict) {
-            // It shows the account, not which of its turns ended: it can't refuse for good.
+            // The conflict returns the account but not the ended turns, so it must not cause a
+            // permanent refusal.
             isFresh = false;
             if (!findRow(version.error().current, accountRow)) {
                 state->account = {};
@@ -481,7 +485,7 @@
             updateAccount(*state, version.error().current);
             if (change.added && findRow(version.error().current, firstChunk)) {
                 *change.writtenVersion = versionOf(version.error().current);
-                co_return tl::expected<void, turn_refusal>(); // an earlier try took effect
+                co_return tl::expected<void, turn_refusal>(); // an earlier attempt took effect
             }
             continue;
         }
@@ -490,8 +494,8 @@
         isFresh = false;
         if (isReserve && !m_store.isReachable())
             co_return unavailable;
-        co_await waitToRetry(pause, deadline);
-        pause = std::min(2 * pause, maxStoreRetryDelay);
+        co_await waitToRetry(retryDelay, deadline);
+        retryDelay = std::min(2 * retryDelay, maxStoreRetryDelay);
     }
     co_return unavailable;
 }
--- a/src/turns/turn_ledger.h
+++ b/src/turns/turn_ledger.h
@@ -14,18 +14,19 @@
 
 namespace azurehill {
 
-/// \brief Why a turn can't go on.
+/// \brief Why a turn is refused.
 enum class turn_refusal {
-    /// The store can't be asked, or said that nothing was done.
+    /// The store is unreachable, or replied that the call had no effect.
     StoreUnavailable,
-    /// The store did not answer: what was asked of it may still take effect.
+    /// The store did not respond: the call may still take effect.
     InDoubt,
     NoSuchTurn,
     BudgetSpent,
     TooLarge,
-    /// The turn before exists, and the store's reads did not show it in time.
+    /// The preceding turn exists, but the store's reads did not return it before the deadline.
     ReadsLag,
-    /// The turn before exists, and its rows don't make a chain: waiting would not change them.
+    /// The preceding turn exists, but no complete chain can be decoded from its rows. A retry would
+    /// read the same rows.
     TurnUnreadable,
 };
 
@@ -37,17 +38,18 @@
            "too_large",         "reads_lag",      "turn_unreadable"};
 };
 
-/// \brief Where the search for a turn ended without telling whether it exists.
+/// \brief The step at which loading a turn failed, for the log.
 enum class load_failure {
-    /// The store was not asked, since its last calls failed.
+    /// No call was made, since the last calls to the store failed.
     Unreachable,
     /// A read failed.
     Read,
-    /// The reads found nothing, and the condition that it does not exist was not answered.
+    /// The reads returned nothing, and the conditional transaction that confirms the absence of the
+    /// turn failed.
     Confirm,
-    /// The turn exists, and the reads are older than it.
+    /// The turn exists, but the reads returned a state from before it was added.
     Lag,
-    /// The turn exists, and what was read after it does not hold its whole chain.
+    /// The turn exists, but a read that is recent enough does not contain its whole chain.
     Chain,
 };
 
@@ -58,185 +60,193 @@
         = {"unreachable", "read", "confirm", "lag", "chain"};
 };
 
-/// \brief Bounds of the ledger.
+/// \brief Limits of the ledger.
 struct ledger_settings
 {
     /// Largest value of one row.
     std::size_t rowBytes = 64U << 10U;
-    /// Whether a transaction may span parts.
+    /// Whether a transaction may span partitions.
     bool spansParts = true;
-    /// Bound on the turns kept in memory.
+    /// Limit on the memory of cached turns.
     std::size_t cacheBytes = 16U << 20U;
 };
 
-/// \brief What a turn asks of its program's budget.
+/// \brief A turn's request for tokens of its program's budget.
 struct turn_claim
 {
     turn_id id;
     program_id program;
-    /// Tokens that all turns of the program may generate.
+    /// Token budget of the whole program: the limit on the output of all its turns.
     std::int64_t budgetTokens = 0;
-    /// Tokens that this turn generates at the most.
+    /// Maximum number of tokens that this turn generates.
     std::int64_t maxOutputTokens = 0;
-    /// Time until the program should be finished, if it said so.
+    /// Time until the program's target finish time, if the program stated one.
     std::optional<duration> timeToFinish;
-    /// Whether the program begins with this turn.
+    /// Whether this is the program's first turn.
     bool isFirst = false;
-    /// How long the program may come back, if no turn of it is kept; its account lasts as long.
+    /// Retention time of the account of a program whose turns are not stored; zero if they are.
     duration retention = duration::zero();
 };
 
-/// \brief A program's account as it is known here, for the log.
+/// \brief Local state of a program's account, for the log and for scheduling.
 struct account_view
 {
     std::int64_t committed = 0;
     store_version version = 0;
 };
 
-/// \brief How a program stands against the time that it should be finished.
+/// \brief Progress of a program against its target finish time.
 struct program_timing
 {
-    /// Time that is left; negative once it is over. Nothing if unknown.
+    /// Time until the target finish time; negative once it has passed. Empty if unknown.
     std::optional<duration> timeLeft;
-    /// Time that the program had at its start.
+    /// Time from the start of the program to its target finish time. Empty if unknown.
     std::optional<duration> timeBudget;
 };
 
-/// \brief Makes turns and budgets durable in the store, so that any daemon can go on from them.
+/// \brief Durable history and token accounting of programs, shared by all daemons through the
+/// store.
 ///
-/// A program has a part of its own. It holds the program's account and its turns, so that one read
-/// finds a whole program, and shows of which turns the account still holds more than they used. A
-/// second table finds the program of a turn by the turn's id alone. Used from one thread.
+/// Each program has its own partition with its account and its turns. So one read returns the whole
+/// program, and shows for which ended turns the account still holds more than they used. A second
+/// table maps the id of a turn to its program. Used from one thread.
 class turn_ledger
 {
 public:
     turn_ledger(store &rows, const ledger_settings &settings);
 
-    /// \brief Finds the turn \p previous, in memory or in the store.
-    /// \param asker the account that asks; another's turn is answered like one that is not there.
-    /// \param program the program that asks, where the turn is looked for first.
-    /// \returns the turn with its chain. NoSuchTurn is certain: the store confirmed it.
+    /// \brief Loads the turn \p previous from the cache or the store.
+    /// \param asker the requesting client account; a turn of another account is treated as absent.
+    /// \param program the requesting program, whose partition is searched first.
+    /// \returns the turn with its chain. NoSuchTurn is definite: the store confirmed it.
     awaitable<tl::expected<turn_ptr, turn_refusal>> load(account_id asker, program_id program,
                                                          turn_id previous, time_point deadline);
 
-    /// \brief Reads the account of \p program, so that what other daemons changed is known here.
-    /// \param deadline when the store must have answered.
-    /// \returns whether it was read. If not, a hold begins from what was known before.
+    /// \brief Reads the account of \p program to pick up the changes of other daemons.
+    /// \param deadline deadline of the read.
+    /// \returns whether it was read. If not, the next reservation starts from the cached account.
     awaitable<bool> refresh(program_id program, time_point deadline);
 
-    /// \brief Holds the most that a turn can generate. Nothing may run before this is durable.
-    /// \returns InDoubt if the hold may still take effect, and so has to be settled.
+    /// \brief Holds the maximum output of a turn. The turn must not run before the hold is durable.
+    /// \returns InDoubt if the hold may still take effect and therefore has to be settled.
     awaitable<tl::expected<void, turn_refusal>> reserve(turn_claim claim, time_point deadline);
 
-    /// \brief Adds a turn that was answered whole and settles its account. The client may learn of
-    /// the end of its answer only after that.
+    /// \brief Adds a completed turn and settles its hold. The end of the response may be sent to
+    /// the client only after that.
     awaitable<tl::expected<void, turn_refusal>> commit(turn_ptr answered, std::int64_t used,
                                                        duration retention, time_point deadline);
 
-    /// \brief Settles a turn that no commit adds: it broke off, or its caller keeps the history.
-    /// \param used tokens that may have reached the client; 0 if it did not run.
+    /// \brief Settles the hold of a turn that is not committed: its response was incomplete, or the
+    /// client keeps the history.
+    /// \param used tokens that may have reached the client; 0 if the turn did not run.
     awaitable<void> settleHold(turn_claim claim, std::int64_t used);
 
-    /// \returns whether the hold of \p claim may stay in place of what the turn used: as long as no
-    /// more than half of the budget is committed. It saves a write, and a program whose budget is
-    /// scarce keeps the other half for what its turns use.
+    /// \returns whether the hold of \p claim may stay instead of being settled to the tokens used:
+    /// true while at most half of the budget is committed. This saves a write, and a program with a
+    /// scarce budget keeps the other half for what its turns really use.
     bool mayKeepHold(const turn_claim &claim) const;
 
-    /// \returns how \p program stands, as far as its account is known here.
+    /// \returns the timing of \p program according to its cached account.
     program_timing timingOf(const program_id &program) const;
 
-    /// \returns the account of \p program as it is known here.
+    /// \returns the cached account of \p program.
     account_view accountView(const program_id &program) const;
 
+    /// \brief Evicts the cached turns and accounts whose retention time is over at \p now.
     void expire(time_point now);
 
-    /// \brief Removes the rows of some programs whose turns nobody may continue from any more.
+    /// \brief Removes the rows of programs whose retention time is over, a few programs per call.
     awaitable<void> removeExpiredRows();
 
 private:
     struct account_state
     {
         token_account account;
-        /// Version of the account's row; 0 when it does not exist yet.
+        /// Version of the account's row; 0 if it does not exist yet.
         store_version version = 0;
-        /// The row as it was read last can't be decoded: what the program spent is not known.
+        /// The latest version of the row can't be decoded, so the tokens spent are unknown.
         bool isUnreadable = false;
-        /// The turns in the program's part, if this daemon began it and nobody else has written
-        /// there since. Otherwise the part holds what was read from it.
+        /// The turns in the program's partition, if this daemon created it and no other daemon has
+        /// changed the account since. Without a value, all known turns of the program count as
+        /// stored.
         std::optional<std::set<turn_id>> storedTurns;
-        /// Turns that are known to have ended, and what they used. The account's row may still hold
-        /// their most.
+        /// Turns that are known to have ended, with the tokens they used. The account's row may
+        /// still hold their maximum output.
         std::unordered_map<turn_id, std::int64_t> endedTurns;
         bool isChanging = false;
         std::shared_ptr<notifier> changeFinished = std::make_shared<notifier>();
         time_point lastUsedAt;
     };
     using account_ptr = std::shared_ptr<account_state>;
-    /// \brief One change of an account with the rows that go with it.
+    /// \brief A change of an account, with the rows written in the same transaction.
     struct account_change;
 
     account_ptr accountOf(const program_id &program);
-    /// \brief Has the rows of the claim's program removed when it can no longer come back.
+    /// \brief Retains the rows of the claim's program for the retention time of the claim from now.
     void extendRetention(const turn_claim &claim, store_version version);
-    /// \brief Waits until no other change of \p state is under way. \returns whether that came by
-    /// \p deadline.
+    /// \brief Waits until no change of \p state is in progress. \returns false if the deadline
+    /// passed first.
     awaitable<bool> waitForAccount(account_ptr state, time_point deadline);
     awaitable<tl::expected<void, turn_refusal>> apply(account_ptr state, account_change change,
                                                       time_point deadline);
     awaitable<tl::expected<void, turn_refusal>>
     applyExclusively(account_ptr state, account_change change, time_point deadline);
-    /// \brief Takes in that \p step made \p next the account at \p version.
+    /// \brief Updates \p state after \p change was committed: the account is \p next at \p version.
     static void onChangeCommitted(account_state &state, const account_change &change,
                                   token_account next, store_version version);
     store_transaction transactionOf(const account_state &state, const account_change &change,
                                     const token_account &next) const;
-    /// \brief Notes that the turn of \p step and its chain are in the program's part.
+    /// \brief Records that the turn of \p change and its chain are in the program's partition.
     static void recordStoredTurns(account_state &state, const account_change &change);
-    /// \brief Adds the turn of \p step, whose tokens are held, and leaves its account as it is.
+    /// \brief Adds the turn of \p change, whose tokens are held, without writing the account.
     awaitable<tl::expected<void, turn_refusal>>
     commitHeldTurn(account_ptr state, account_change change, time_point deadline);
     void addTurnRows(store_transaction &t, const account_state &state,
                      const account_change &change) const;
     awaitable<bool> refreshAccount(account_ptr state, program_id program, time_point deadline);
-    /// \brief Waits before a call is made again: for \p pause, or in an outage until it is over.
-    awaitable<void> waitToRetry(duration pause, time_point deadline);
+    /// \brief Waits before a retry: for \p retryDelay, or, while the store is unreachable, until it
+    /// can be reached again or \p deadline.
+    awaitable<void> waitToRetry(duration retryDelay, time_point deadline);
     awaitable<bool> writeIndexRow(turn_ptr t, time_point deadline);
-    /// \brief What a read of a program showed.
+    /// \brief Result of reading a program's partition.
     struct turn_lookup
     {
         /// The wanted turn with its chain, or null.
         turn_ptr found;
-        /// The store's version that was read.
+        /// Version of the store that the read returned.
         store_version readVersion = 0;
     };
-    /// \brief Where the store's newest state has a turn.
+    /// \brief Where a turn is in the newest state of the store.
     struct turn_location
     {
         program_id program;
-        /// Version of the turn's first row.
+        /// Version of the row with the turn's first chunk.
         store_version version = 0;
     };
     awaitable<store_result<turn_lookup>> readProgram(program_id program, turn_id wanted,
                                                      time_point deadline);
     awaitable<store_result<turn_lookup>> readByIndex(turn_id wanted, time_point deadline);
-    /// \brief Asks the store by conditions, which lag behind nothing, where \p wanted is.
-    /// \returns its place, or nothing if there is certainly no such turn.
+    /// \brief Finds \p wanted by the conditions of transactions, which, unlike reads, are checked
+    /// against the newest state.
+    /// \returns its location, or nothing if there definitely is no such turn.
     awaitable<store_result<std::optional<turn_location>>> locate(turn_id wanted,
                                                                  time_point deadline);
-    /// \returns the version of \p name in the newest state with its value; version 0 if absent.
+    /// \returns the row \p name in the newest state of the store; version 0 if it is absent.
     awaitable<store_result<stored_row>> readNewestRow(row_name name, time_point deadline);
-    /// \brief Reads the turn at \p place until the reads have caught up with it.
+    /// \brief Reads the turn at \p location, with retries until the reads include its version.
     awaitable<tl::expected<turn_ptr, turn_refusal>>
     readUntilVisible(turn_location location, turn_id wanted, time_point deadline);
     void logTurnNotLoaded(const program_id &program, const turn_id &wanted, load_failure failure,
                           const std::string &detail) const;
+    /// \brief Updates the account of \p program and the turn cache from its \p rows.
+    /// \returns the turn \p wanted with its chain, or null.
     turn_ptr processProgramRows(const program_id &program, const std::vector<stored_row> &rows,
                                 const turn_id &wanted);
     void updateAccount(account_state &state, const std::vector<stored_row> &rows);
-    /// \brief Takes in which turns of the account's program \p turns shows as ended.
+    /// \brief Records the turns of \p turns, which have ended, with the tokens they used.
     static void recordEndedTurns(account_state &state,
                                  const std::map<turn_id, decoded_turn> &turns);
-    /// \brief Charges ended turns what they used in place of what was held for them.
+    /// \brief Replaces the holds of ended turns by the tokens they used.
     static void settleEndedTurns(account_state &state);
 
     store &m_store;
@@ -245,7 +255,7 @@
     row_retention_tracker m_rowRetention;
     unreadable_rows m_unreadable;
     std::unordered_map<program_id, account_ptr> m_accounts;
-    /// How long a turn is remembered here after it was read or added.
+    /// How long a turn is cached after it was read.
     duration m_retention = seconds(60);
 };
 
--- a/src/turns/turn_ledger_reads.cpp
+++ b/src/turns/turn_ledger_reads.cpp
@@ -15,7 +15,7 @@
         updateAccount(*state, rows);
         settleEndedTurns(*state);
     }
-    // The chain from the wanted turn back to its start, then built from the start on.
+    // Collects the chain from the wanted turn back to its start, then links it from the start.
     std::vector<decoded_turn *> chain;
     turn_ptr last;
     for (turn_id id = wanted; !id.empty();) {
@@ -93,8 +93,9 @@
         co_return tl::unexpected(indexRow.error());
     if (indexRow->version == 0)
         co_return std::nullopt;
-    // An entry outlives its turn when another daemon added the turn than the one that removes the
-    // program, or the turn was never added: then there is no such turn.
+    // An index row can exist without its turn: if the turn was never added, or if the program's
+    // rows were removed by another daemon than the one that added the turn. Then there is no such
+    // turn.
     const program_id program{indexRow->value};
     name = turn_rows::firstChunk(program, wanted);
     const auto firstChunk = co_await readNewestRow(std::move(name), deadline);
@@ -108,21 +109,21 @@
 awaitable<tl::expected<turn_ptr, turn_refusal>>
 turn_ledger::readUntilVisible(turn_location location, turn_id wanted, time_point deadline)
 {
-    duration pause = minStoreRetryDelay;
+    duration retryDelay = minStoreRetryDelay;
     store_result<turn_lookup> lookup;
     while (runtime_clock::now() < deadline) {
         lookup = co_await readProgram(location.program, wanted, storeAttemptDeadline(deadline));
         if (lookup && lookup->found)
             co_return lookup->found;
-        // What was read after the turn was added shows it as it is; what is older says nothing.
+        // A read of at least the turn's version is conclusive; an older one is not.
         if (lookup && lookup->readVersion >= location.version) {
             logTurnNotLoaded(location.program, wanted, load_failure::Chain, "");
             co_return tl::unexpected(turn_refusal::TurnUnreadable);
         }
         if (!lookup && !m_store.isReachable())
             break;
-        co_await sleepFor(std::min(pause, deadline - runtime_clock::now()));
-        pause = std::min(2 * pause, maxStoreRetryDelay);
+        co_await sleepFor(std::min(retryDelay, deadline - runtime_clock::now()));
+        retryDelay = std::min(2 * retryDelay, maxStoreRetryDelay);
     }
     const std::string detail = lookup ? "" : lookup.error().detail;
     logTurnNotLoaded(location.program, wanted, lookup ? load_failure::Lag : load_failure::Read,
@@ -153,15 +154,15 @@
     }
     load_failure failed = load_failure::Read;
     std::string detail;
-    // One lost answer must not refuse the turn: the second try takes a new connection.
+    // A single lost response must not refuse the turn: the second attempt uses a new connection.
     constexpr int tries = 2;
     for (int i = 0; i < tries && runtime_clock::now() < deadline; ++i) {
         const time_point until = storeAttemptDeadline(deadline);
         auto found = co_await readProgram(program, previous, until);
         if (found && !found->found)
             found = co_await readByIndex(previous, until);
-        // Another account's turn takes the same calls as one that is not there, so that the time of
-        // the answer does not tell them apart.
+        // A turn of another account takes the same calls as an absent one, so that the response
+        // time does not reveal its existence.
         const bool isForeign = found && found->found && !mayContinue(*found->found, asker);
         if (found && found->found && !isForeign)
             co_return found->found;
@@ -169,7 +170,7 @@
         if (!found) {
             detail = found.error().detail;
         } else {
-            // A read may lag behind; only a condition says for certain that there is no such turn.
+            // Reads may be stale; only a condition confirms that there is no such turn.
             const auto location = co_await locate(previous, until);
             if (location && (!*location || isForeign))
                 co_return tl::unexpected(turn_refusal::NoSuchTurn);
--- a/src/turns/turn_ledger_removal.cpp
+++ b/src/turns/turn_ledger_removal.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// Programs whose rows are removed at a time, so that removals stay a small share of the calls.
+/// Programs removed per call of removeExpiredRows(), so that removals stay a small share of the
+/// store's calls.
 constexpr std::size_t maxProgramsPerRemoval = 8;
-/// Entries that one transaction may have.
+/// Limit on the writes, removals and conditions of one transaction.
 constexpr std::size_t maxTransactionEntries = 100;
 
 } // namespace
@@ -25,7 +26,7 @@
             continue;
         const row_name accountRow = turn_rows::account(due.program);
         store_transaction t;
-        // Another daemon may have added a turn since: the program then is that daemon's to remove.
+        // If another daemon has added a turn since, that daemon removes the program.
         store_version accountVersion = 0;
         for (const stored_row &row : page->rows) {
             t.removals.push_back(row.name);
@@ -39,7 +40,7 @@
             for (const turn_id &id : due.turns)
                 t.removals.push_back(turn_rows::index(id));
         }
-        // A program of more rows than fit is left; its rows cost room, not correctness.
+        // Programs with more rows than one transaction can remove are left; they only cost space.
         if (t.removals.size() >= maxTransactionEntries)
             continue;
         const std::int64_t count = std::int64_t(t.removals.size());
--- a/src/turns/turn_rows.cpp
+++ b/src/turns/turn_rows.cpp
@@ -12,12 +12,13 @@
 constexpr std::string_view indexTable = "turn-index";
 constexpr std::string_view accountKey = "account";
 constexpr std::string_view turnPrefix = "turn/";
-/// Parts of the index: transactions of one part go one after the other, so it is spread over many.
+/// Partitions of the index. Transactions on one partition are serialised, so the index is spread
+/// over many.
 constexpr std::uint64_t indexParts = 256;
 
 std::string chunkKey(const turn_id &id, std::size_t chunk)
 {
-    // Fixed width, so that the pieces come in order.
+    // Zero-padded, so that key order is chunk order.
     return fmt::format("{}{}#{:04}", turnPrefix, id.value, chunk);
 }
 
--- a/src/turns/turn_rows.h
+++ b/src/turns/turn_rows.h
@@ -8,28 +8,29 @@
 
 namespace azurehill {
 
-/// \brief Where turns and accounts lie in the store.
+/// \brief Layout of turns and token accounts in the store. A partition is the store's `part`.
 ///
-/// | table | part | key | value |
+/// | table | partition | key | value |
 /// | --- | --- | --- | --- |
 /// | turns | program | "account" | the program's token_account |
-/// | turns | program | "turn/ID#N" | piece N of a turn; a row has a largest size |
-/// | turn-index | hash of the turn's id | turn's id | the program that has the turn |
+/// | turns | program | "turn/ID#N" | chunk N of a turn; the size of a row is limited |
+/// | turn-index | hash of the turn's id | turn's id | the program that holds the turn |
 namespace turn_rows {
 
-/// \returns the row of a program's account.
+/// \returns the name of the account row of \p program.
 row_name account(const program_id &program);
-/// \returns the row of the first piece of a turn in the part of \p program.
+/// \returns the name of the row with the first chunk of a turn in the partition of \p program.
 row_name firstChunk(const program_id &program, const turn_id &id);
-/// \returns the row that finds a turn's program.
+/// \returns the name of the index row that maps a turn to its program.
 row_name index(const turn_id &id);
-/// \returns all rows of \p program.
+/// \returns the range of all rows of \p program.
 row_range programRange(const program_id &program);
-/// \returns \p t as rows in the part of \p program, none with a value over \p rowBytes.
+/// \returns \p t encoded as rows in the partition of \p program, each value at most \p rowBytes
+/// long.
 std::vector<row_value> encodeRows(const turn &t, const program_id &program, std::size_t rowBytes);
-/// \returns the turns in \p rows by id; what can't be read is logged and left out.
+/// \returns the turns in \p rows by id. Turns that can't be decoded are logged and left out.
 std::map<turn_id, decoded_turn> readTurns(const std::vector<stored_row> &rows);
-/// \returns whether \p row is the account of a program.
+/// \returns whether \p row is the account row of a program.
 bool isAccountRow(const row_name &row);
 
 } // namespace turn_rows
--- a/src/turns/turns.h
+++ b/src/turns/turns.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Turns of programs: their history, their budget, and how both become durable.
+/// \brief Turns of programs: durable history and token budgets.
 
 #include "turns/token_account.h"
 #include "turns/turn.h"
--- a/test/io/callers_history_test.cpp
+++ b/test/io/callers_history_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-// doctest's macros are used by the world.
+// entry_world.h uses doctest's macros.
 #include "entry_world.h"
 #include "fake_store.h"
 
@@ -15,7 +15,7 @@
     return answer.size() > 12 ? std::stoi(answer.substr(9, 3)) : 0;
 }
 
-/// \brief A daemon's ledger on a store that others share.
+/// \brief The turn ledger of one daemon, on a store shared with other daemons.
 struct ledger_host
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
@@ -24,19 +24,19 @@
     turn_ledger ledger;
 };
 
-/// \brief One turn of a program whose caller keeps its history.
+/// \brief One turn of a program whose client keeps the history.
 struct planned_turn
 {
     std::string id;
     std::int64_t used = 0;
-    /// The daemon dies before it settles the turn.
+    /// Whether the daemon fails before it settles the turn.
     bool daemonDies = false;
 };
 
 constexpr std::int64_t maxTurnTokens = 50;
 constexpr std::int64_t programBudget = 300;
 
-/// \brief Holds, answers and settles \p turn at \p host; what is handed out goes to \p handed.
+/// \brief Reserves, runs and settles \p turn at \p host, and adds its output to \p deliveredTokens.
 awaitable<void> runTurn(ledger_host &host, planned_turn turn, std::int64_t &deliveredTokens,
                         int &turnsInFlight)
 {
@@ -57,7 +57,7 @@
 
 TEST_SUITE("turns whose callers keep the history")
 {
-    // Guards against programs that spend many times their budget where no history is kept.
+    // Guards against programs that spend a multiple of their budget if their history is not stored.
     TEST_CASE("a budget holds")
     {
         entry_world w;
@@ -82,7 +82,8 @@
         }
     }
 
-    // Guards against a write of the store at each end, and against holds that use up a budget.
+    // Guards against a store write at the end of each turn, and against unsettled holds that
+    // exhaust the budget.
     TEST_CASE("ends are settled once half of the budget is committed")
     {
         entry_world w;
@@ -110,7 +111,7 @@
         }
     }
 
-    // Guards against tokens of a broken answer that are not charged.
+    // Guards against tokens of an incomplete response that are not charged.
     TEST_CASE("a turn that broke off is charged what was handed out")
     {
         entry_world w;
@@ -121,7 +122,7 @@
         CHECK(statusOf(w.chat("t2", "one;two;", 45)) == 402);
     }
 
-    // Guards against a budget that shrinks by turns that never ran.
+    // Guards against charging turns that did not run.
     TEST_CASE("a turn that no replica ran costs nothing")
     {
         entry_world w;
@@ -135,7 +136,7 @@
         CHECK(statusOf(w.chat("t9", "one;", 45)) == 200);
     }
 
-    // Guards against turns that run unheld while the store is away.
+    // Guards against turns that run without a reservation while the store is unavailable.
     TEST_CASE("no turn runs that the store did not hold")
     {
         entry_world w;
@@ -144,7 +145,7 @@
         CHECK(w.model.arrived.empty());
     }
 
-    // Guards against a prompt that the daemon adds to or takes from.
+    // Guards against changes of the prompt by the daemon.
     TEST_CASE("the replica reads what the caller sent")
     {
         entry_world w;
@@ -155,7 +156,8 @@
         CHECK(w.model.arrived[1].ends_with("\r\n\r\none;e1;two;"));
     }
 
-    // Guards against budgets that are passed by parallel turns, lost answers and deaths.
+    // Guards against budgets that are exceeded due to parallel turns, lost responses and failed
+    // daemons.
     TEST_CASE("whatever the store does and whichever daemon dies, a budget holds")
     {
         CHECK(rc::check("handed tokens stay within the budget", [] {
@@ -187,7 +189,7 @@
                     ++turnsInFlight;
                     spawn(executor, "turn",
                           runTurn(hosts[hostIndex], turn, deliveredTokens, turnsInFlight));
-                    // Up to three at a time.
+                    // Up to three turns in parallel.
                     while (turnsInFlight > dies[std::size_t(i)] % 3)
                         co_await sleepFor(milliseconds(5));
                     for (ledger_host &h : hosts)
--- a/test/io/fake_store.h
+++ b/test/io/fake_store.h
@@ -9,7 +9,7 @@
 
 namespace azurehill::test {
 
-/// \brief What goes wrong with one call of the store.
+/// \brief Fault to inject into one call of the store.
 enum class store_fault {
     None,
     Refused,
@@ -20,21 +20,22 @@
     Slow
 };
 
-/// \brief A store in memory whose calls fail as a test wants it.
+/// \brief In-memory store with fault injection.
 class fake_store : public store
 {
 public:
     explicit fake_store(row_store &rows) : m_rows(rows) { }
 
-    /// What goes wrong with the next call.
+    /// Returns the fault of the next call.
     std::function<store_fault()> nextFault = [] { return store_fault::None; };
     bool reachable = true;
     int calls = 0;
-    /// Rows that answers held.
+    /// Number of rows returned by reads and changes.
     std::size_t rowsRead = 0;
-    /// The store has forgotten what changed.
+    /// Whether changes() fails because the history of changes has been dropped.
     bool isHistoryGone = false;
-    /// Reads show these rows instead of the newest ones; conditions are answered from the newest.
+    /// If set, reads return these rows instead of the newest ones. Conditions always use the
+    /// newest.
     const row_store *staleRows = nullptr;
 
     awaitable<store_result<store_version>> transact(store_transaction t,
@@ -94,7 +95,7 @@
 
     bool isReachable() const override { return reachable; }
 
-    /// \brief Lets the writes that were held up take effect, if their conditions still hold.
+    /// \brief Applies the delayed writes whose conditions still hold.
     void applyDelayedWrites()
     {
         for (const store_transaction &t : std::exchange(m_delayedWrites, {}))
--- a/test/io/turn_ledger_test.cpp
+++ b/test/io/turn_ledger_test.cpp
@@ -42,7 +42,7 @@
     return {{id}, program, budget, maxOutputTokens, seconds(5), true};
 }
 
-/// \brief A daemon's ledger on a store that others share.
+/// \brief The turn ledger of one daemon, on a store shared with other daemons.
 struct ledger_host
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
@@ -51,7 +51,7 @@
     turn_ledger ledger;
 };
 
-/// \brief Reserves \p most of \p budget for the turn \p id.
+/// \brief Reserves \p maxOutputTokens of \p budget for the turn \p id.
 awaitable<tl::expected<void, turn_refusal>>
 reserveFor(turn_ledger &ledger, const char *id, std::int64_t budget, std::int64_t maxOutputTokens)
 {
@@ -59,7 +59,7 @@
     co_return co_await ledger.reserve(std::move(claim), later(seconds(1)));
 }
 
-/// \brief Reserves, and commits a turn that used \p used tokens. \returns the turn, or null.
+/// \brief Reserves and commits a turn that used \p used tokens. \returns the turn, or null.
 awaitable<turn_ptr> runTurn(turn_ledger &ledger, turn_claim claim, turn_ptr previous,
                             std::int64_t used)
 {
@@ -71,7 +71,7 @@
     co_return done ? t : nullptr;
 }
 
-/// \brief Two daemons on one store, and the program of most stories.
+/// \brief Two daemons on one store, and the program that most scenarios use.
 struct ledger_pair
 {
     row_store rows;
@@ -80,7 +80,7 @@
     asio::io_context context;
     program_id program{"p1"};
 
-    /// \brief Runs the turn \p id of the program after \p previous, with room in its budget.
+    /// \brief Runs the turn \p id of the program after \p previous, within its budget.
     awaitable<turn_ptr> runUsual(turn_ledger &ledger, const char *id, turn_ptr previous)
     {
         const turn_claim claim = claimFor(id, program, 1000, 50);
@@ -187,8 +187,8 @@
 
         SUBCASE("the store is away: nobody can know")
         {
-            // A user's next page was answered 404 in an outage, and the lesson ended. The daemon
-            // had not seen the turn before and took "could not read" for "is not there".
+            // Guards against a 404 in an outage, which ends the client's program: a daemon that has
+            // not cached the preceding turn must not treat a failed read as "not found".
             host.access.nextFault = [] { return store_fault::Refused; };
             auto scenario = [&]() -> awaitable<void> {
                 const auto found
@@ -202,10 +202,10 @@
 
     TEST_CASE("a turn that is there is read as soon as the reads show it")
     {
-        // After all hosts had lost their power, turns that went on from earlier ones were refused
-        // eight times in a row, each within 100 ms, and no replica was asked. A ledger whose reads
-        // lag refuses like that: "step":"chain" after two tries without a pause between them, for
-        // as long as the lag lasts.
+        // Guards against refusals while the store's reads lag. After a power failure of all hosts,
+        // turns that continued earlier ones were refused eight times in a row, each within 100 ms,
+        // and no replica was called. A ledger that makes two attempts without a delay in between
+        // refuses in this way ("step":"chain") until the reads have caught up.
         ledger_pair w;
         auto &[rows, first, second, context, program] = w;
         row_store before;
@@ -265,8 +265,8 @@
 
         SUBCASE("an entry of the index whose turn is gone is no turn")
         {
-            // The daemon that added a program's last turn removes all its rows, and the entries of
-            // the turns that it added itself. Those of others' turns stay.
+            // The daemon that added a program's last turn removes all rows of the program, and the
+            // index rows of its own turns. The index rows of other daemons' turns stay.
             second.access.staleRows = nullptr;
             auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
@@ -304,8 +304,8 @@
 
         SUBCASE("a refusal is never based on an old copy of the account")
         {
-            // A translator's page was refused as over budget although another daemon had settled
-            // its turn at a tenth of what it held. The daemon still believed the hold it had read.
+            // Guards against a refusal based on a stale hold: another daemon had settled its turn
+            // at a tenth of the held tokens, but this daemon still used the hold that it had read.
             auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await first.ledger.reserve(one, later(seconds(1)));
@@ -321,8 +321,8 @@
 
         SUBCASE("tokens that are spent never come back, so the refusal needs no store")
         {
-            // A program that loops asked for one more turn again and again after its budget was
-            // spent. Each refusal read the account, and in an outage it got "come back" instead.
+            // Guards against a store read for each request of a looping program after its budget is
+            // spent, and against answering such a request with "retry later" in an outage.
             auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await runTurn(first.ledger, one, nullptr, 50);
@@ -338,8 +338,8 @@
 
         SUBCASE("an account that can't be read is neither a fresh budget nor a refusal for good")
         {
-            // A maintenance script had damaged an account's row. The daemon asked the store for the
-            // same row over and over until the client's time was over.
+            // Guards against a daemon that reads a corrupt account row again and again until the
+            // client's deadline. A maintenance script had damaged the row.
             auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 100, 60);
                 store_transaction t;
@@ -370,10 +370,11 @@
         }
     }
 
-    // Helpers of one program asked for their turns at the same time, on different daemons. The end
-    // of each depended on the account as its daemon had seen it when the turn began, so it failed
-    // for every turn that began or ended meanwhile and was written again: a third of the store's
-    // calls on a calm second, and a client that had read its whole answer waited for its end.
+    // Guards against commits that conflict if sub-agents of one program run turns in parallel on
+    // different daemons. When a commit was conditional on the account as read at the start of the
+    // turn, each turn that began or ended in the meantime made it fail and be written again. That
+    // was a third of the store's calls under low load, and clients waited for the end of responses
+    // that they had received completely.
     TEST_CASE("turns of one program that run in parallel don't hold up each other's ends")
     {
         ledger_pair w;
@@ -399,7 +400,7 @@
 
         SUBCASE("what they used is charged once, by whoever changes the account next")
         {
-            // 100 tokens: 5 and 7 are used, so one more turn of 60 fits and another does not.
+            // Of 100 tokens, 5 and 7 are used, so one more turn of 60 fits and a second does not.
             auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 100, 40);
                 co_await reserveFor(second.ledger, "t2", 100, 40);
@@ -421,7 +422,8 @@
 
         SUBCASE("the daemon whose turn began first and ended last removes the program's rows")
         {
-            // The other one's turn left the account's newest version, but not the newest turn.
+            // The other daemon's turn wrote the newest version of the account, but this daemon
+            // added the newest turn.
             auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 1000, 60);
                 co_await reserveFor(second.ledger, "t2", 1000, 60);
@@ -439,7 +441,7 @@
                 CHECK(found);
                 runtime_clock::advance(seconds(20));
                 co_await first.ledger.removeExpiredRows();
-                // The other daemon's entry of the index stays.
+                // The index row of the other daemon's turn stays.
                 CHECK(rows.read(turn_rows::programRange(program)).rows.empty());
             };
             runPaused(context, scenario());
@@ -466,8 +468,9 @@
 
         SUBCASE("but not while another daemon's turn of the same program is younger")
         {
-            // A lesson's sixth page was answered 404: the daemon that served the first page had
-            // removed the whole program a minute later, though another daemon had gone on with it.
+            // Guards against a 404 for a program in use: the daemon that ran the first turn removed
+            // all rows a minute later, although another daemon had continued the program. It was
+            // seen at the sixth turn.
             auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
@@ -486,9 +489,9 @@
 
     TEST_CASE("a turn whose program's rows were removed brings its whole chain along")
     {
-        // A turn was answered whole, and the next one that went on from it was refused everywhere
-        // with "step":"chain" until its program failed. The daemon had taken the older turns for
-        // stored, since they were its program's own: their rows had been removed meanwhile.
+        // Guards against a committed turn whose chain is missing in the store, so that all daemons
+        // refuse the next turn ("step":"chain") and the program fails. The daemon had assumed that
+        // the older turns of the same program were stored, but their rows had been removed.
         ledger_pair w;
         auto &[rows, first, second, context, program] = w;
         const auto loadAfresh = [&](const char *id) -> awaitable<std::string> {
@@ -535,8 +538,8 @@
 
         SUBCASE("a daemon that does not know the account takes no stored chain for a lost one")
         {
-            // Turns without a budget reserve nothing: their commit is the first that the daemon
-            // does with the account, and a long chain would be too large to be copied.
+            // Turns without a budget are not reserved: their commit is the daemon's first access to
+            // the account, and copying a long chain would exceed the size of a transaction.
             auto scenario = [&]() -> awaitable<void> {
                 auto big = std::make_shared<turn>(*makeTurn("t1", program, nullptr));
                 big->input.assign(500'000, 'x');
@@ -610,8 +613,8 @@
 
         SUBCASE("a reservation that is given up can't take effect seconds later")
         {
-            // A turn was refused because the store did not answer. Two seconds later its
-            // reservation took effect, and tokens were held for a turn that never ran.
+            // Guards against tokens held for a turn that never runs: the turn was refused because
+            // the store did not respond, and its reservation took effect two seconds later.
             plan = {store_fault::DelayedWrite, store_fault::Refused, store_fault::Refused};
             auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
@@ -664,7 +667,7 @@
                         continue;
                     const std::int64_t used = 26 + faults[std::size_t(i) + 10] * 2;
                     deliveredTokens += used;
-                    // Some daemons die here: nobody settles what they held.
+                    // Some daemons fail here, and their holds are never settled.
                     if (faults[std::size_t(i) + 20] % 6 == 0)
                         continue;
                     const turn_ptr t = makeTurn(id, program, last);
