--- a/src/program/release_planner.cpp
+++ b/src/program/release_planner.cpp
@@ -33,11 +33,11 @@
 {
     std::erase_if(m_attempts, [&](const auto &entry) {
         const program *p = registry.find(entry.first.program);
-        return !entry.second.underWay && (!p || !p->engines.count(entry.first.engine));
+        return !entry.second.inFlight && (!p || !p->engines.count(entry.first.engine));
     });
     auto inFlight = static_cast<std::size_t>(
         std::count_if(m_attempts.begin(), m_attempts.end(),
-                      [](const auto &entry) { return entry.second.underWay; }));
+                      [](const auto &entry) { return entry.second.inFlight; }));
     std::vector<release_order> orders;
     for (const auto &[id, p] : registry.programs()) {
         if (!isReleasable(p))
--- a/src/turns/turn_ledger.cpp
+++ b/src/turns/turn_ledger.cpp
@@ -122,7 +122,7 @@
 {
     m_cache.expire(now);
     std::erase_if(m_accounts, [now](const auto &item) {
-        return !item.second->busy && item.second.use_count() == 1
+        return !item.second->isChanging && item.second.use_count() == 1
             && item.second->lastUsedAt + accountCacheRetention < now;
     });
 }
--- a/test/logic/release_test.cpp
+++ b/test/logic/release_test.cpp
@@ -40,8 +40,8 @@
         const upstream_id &engine = engines[randomBits / 16 % 2];
         const std::int64_t turn = p.lastTurn + 1;
         write(call_begun{p.id, turn, std::to_string(turn), call_kind::Model, true, 1, engine});
-        memory[randomBits / 32 % 8 == 0 ? engines[1] : engine].insert(
-            p.id); // rerouted before it ran
+        // One call in eight is rerouted to the second engine before it runs.
+        memory[randomBits / 32 % 8 == 0 ? engines[1] : engine].insert(p.id);
     }
     void answer(unsigned randomBits)
     {
