--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -145,12 +145,12 @@
     }
 }
 
-void entry_service::setOtherPlaceWords(const std::vector<place_words> &heard)
+void entry_service::setOtherPlaceWords(const std::vector<concurrency_reports> &heard)
 {
     m_places.hear(heard, static_cast<std::size_t>(m_daemons - 1));
 }
 
-void entry_service::setOtherReplicaWords(const std::vector<replica_words> &heard)
+void entry_service::setOtherReplicaWords(const std::vector<replica_reports> &heard)
 {
     m_board.hear(heard, runtime_clock::now());
 }
@@ -316,13 +316,13 @@
         const bool whole = co_await m_relay.readBody(call, *reply, answer);
         if (!whole) {
             m_sender.finish(*call, *reply,
-                            call->clientLeft() ? send_end::Cancelled : send_end::Broken);
+                            call->clientLeft() ? send_outcome::Cancelled : send_outcome::Broken);
             ++call->sends;
             if (call->cut == cut_reason::AttemptTimeOver)
                 call->cut = cut_reason::None;
             if (mayRepeat(*call))
                 continue;
-            const send_failure broken{send_end::Broken, "the answer broke off"};
+            const send_failure broken{send_outcome::Broken, "the answer broke off"};
             co_await m_answers.giveUp(call, broken, writer);
             co_return;
         }
@@ -330,7 +330,7 @@
             co_await m_relay.relayRest(call, *reply, std::move(answer), writer);
             co_return;
         }
-        m_sender.finish(*call, *reply, send_end::Answered);
+        m_sender.finish(*call, *reply, send_outcome::Answered);
         http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
--- a/src/entry/turn_exchange.cpp
+++ b/src/entry/turn_exchange.cpp
@@ -146,7 +146,7 @@
             break;
         reply = std::move(*next);
         if (reply.head.status != 200) {
-            m_sender.finish(*call, reply, send_end::Answered);
+            m_sender.finish(*call, reply, send_outcome::Answered);
             break;
         }
         co_await m_relay.relayMore(call, reply, stream, writer);
--- a/src/members/membership_protocol.h
+++ b/src/members/membership_protocol.h
@@ -47,9 +47,9 @@
     /// \brief Takes in whether callers may be sent here, and whether this daemon reaches the store.
     void setSelf(bool isServing, bool isStoreReachable);
     /// \brief Takes in what this daemon tells the others of its places at the engines.
-    void setWords(place_words words) { m_words = std::move(words); }
+    void setWords(concurrency_reports words) { m_words = std::move(words); }
     /// \brief Takes in what this daemon tells the others of replicas.
-    void setReplicaWords(replica_words words) { m_replicaWords = std::move(words); }
+    void setReplicaWords(replica_reports words) { m_replicaWords = std::move(words); }
 
     /// \brief Takes in this daemon's copy of the replicas' entries; its age goes on from \p now.
     void setReplicas(const table_digest &digest, time_point now);
@@ -69,9 +69,9 @@
 
     const member_list &members() const { return m_members; }
     /// \returns what other daemons told lately of their places at the engines.
-    std::vector<place_words> wordsHeard() const { return m_sample.heard(); }
+    std::vector<concurrency_reports> wordsHeard() const { return m_sample.heard(); }
     /// \returns what other daemons told lately of replicas.
-    std::vector<replica_words> replicaWordsHeard() const { return m_sample.heardOfReplicas(); }
+    std::vector<replica_reports> replicaWordsHeard() const { return m_sample.heardOfReplicas(); }
     /// \returns the members that came or went since the last call.
     std::vector<member_change> takeChanges() { return m_members.takeChanges(); }
     /// \returns what came of other daemons' copies since the last call.
@@ -116,8 +116,8 @@
     member_list m_members;
     update_queue m_updates;
     word_sample m_sample;
-    place_words m_words;
-    replica_words m_replicaWords;
+    concurrency_reports m_words;
+    replica_reports m_replicaWords;
     std::optional<table_digest> m_replicas;
     /// When \c m_replicas had the age that it tells.
     time_point m_replicasAt;
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -34,7 +34,7 @@
     UpdateFields
 };
 
-json::value encode(const place_word &word)
+json::value encode(const concurrency_report &word)
 {
     json::array numbers;
     for (const double number : {word.wanted, word.inside, word.inflation, word.perReplica})
@@ -76,24 +76,24 @@
     return double(number) / hundredths;
 }
 
-place_words wordsIn(const json::object &o)
+concurrency_reports wordsIn(const json::object &o)
 {
-    place_words words;
+    concurrency_reports words;
     for (const auto &[service, value] : o) {
-        const place_word word{numberIn(value.at(0)), numberIn(value.at(1)), numberIn(value.at(2)),
-                              numberIn(value.at(3))};
+        const concurrency_report word{numberIn(value.at(0)), numberIn(value.at(1)),
+                                      numberIn(value.at(2)), numberIn(value.at(3))};
         words.emplace(std::string(service), word);
     }
     return words;
 }
 
-replica_words replicaWordsIn(const json::object &o)
+replica_reports replicaWordsIn(const json::object &o)
 {
-    if (o.size() > mostReplicaWords)
+    if (o.size() > maxReplicaReports)
         throw std::out_of_range("words on replicas");
-    replica_words words;
+    replica_reports words;
     for (const auto &[id, value] : o)
-        words.emplace(upstream_id{std::string(id)}, enumIn<replica_word>(value));
+        words.emplace(upstream_id{std::string(id)}, enumIn<replica_report>(value));
     return words;
 }
 
@@ -133,7 +133,7 @@
     if (const json::value *words = o.if_contains("f"))
         m.replicaWords = replicaWordsIn(words->as_object());
     if (const json::value *replicas = o.if_contains("r"))
-        m.replicas = digestIn(*replicas);
+        m.replicas = digestFromJson(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
         for (const json::value &update : updates->as_array())
             m.updates.push_back(updateIn(update));
--- a/src/turns/turn.cpp
+++ b/src/turns/turn.cpp
@@ -56,7 +56,7 @@
     head["program"] = t.program.value;
     head["previous"] = t.previous ? t.previous->id.value : std::string();
     head["replica"] = t.replica.id.value;
-    head["replica_born"] = t.replica.bornUnixMs;
+    head["replica_born"] = t.replica.startedUnixMs;
     head["tokens"] = t.tokens;
     if (t.account)
         head["account"] = t.account->value;
--- a/src/turns/turn_ledger.h
+++ b/src/turns/turn_ledger.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 #include "runtime/runtime.h"
 #include "store/store.h"
 #include "turns/row_retention_tracker.h"
@@ -253,7 +253,7 @@
     ledger_settings m_settings;
     turn_cache m_cache;
     row_retention_tracker m_rowRetention;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     std::unordered_map<program_id, account_ptr> m_accounts;
     /// How long a turn is cached after it was read.
     duration m_retention = seconds(60);
--- a/test/io/member_list_test.cpp
+++ b/test/io/member_list_test.cpp
@@ -214,7 +214,7 @@
         word_sample sample;
         sample.onHeard({"a"}, {{"model", {1, 1, 0, 0}}}, {}, at(0));
         sample.onHeard({"a"}, {{"model", {2, 2, 0, 0}}}, {}, at(100));
-        sample.onHeard({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_word::Fails}}, at(900));
+        sample.onHeard({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_report::Fails}}, at(900));
         CHECK(sample.heard().size() == 2);
         CHECK(sample.heard().front().at("model").wanted == 2);
         sample.expire(at(1400));
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -196,7 +196,7 @@
             return;
         const int other = news.peer.port;
         table_cache &copy = m_copies[std::size_t(daemon)];
-        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
+        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
         const bool isReached = !m_stopped.contains(other) && !m_cut.contains({daemon, other});
         if (isBehind && isReached) {
             const table_cache &theirs = m_copies[std::size_t(other)];
--- a/test/io/membership_replay.h
+++ b/test/io/membership_replay.h
@@ -102,7 +102,7 @@
     std::set<std::pair<int, int>> m_cut;
     double m_loss = 0;
     int m_ignored = -1;
-    read_turns m_turns;
+    poll_schedule m_turns;
     std::vector<table_cache> m_copies;
     std::set<int> m_storeCut;
     std::vector<stored_row> m_table;
