--- a/src/daemon/control_calls.cpp
+++ b/src/daemon/control_calls.cpp
@@ -164,7 +164,7 @@
     const commit_result result = co_await commit(record, commit_need::Refusable);
     if (result == commit_result::Durable)
         co_return id;
-    m_book.forget(id);
+    m_book.erase(id);
     co_return tl::unexpected(commitRefusal(result));
 }
 
--- a/src/entry/engine_places.cpp
+++ b/src/entry/engine_places.cpp
@@ -27,9 +27,10 @@
     ticket.slack = call.request.programFinish.value_or(duration::max());
     if (ticket.slack > duration::zero())
         return ticket;
-    ticket.slack = times.left.value_or(duration::zero());
+    ticket.slack = times.timeLeft.value_or(duration::zero());
     // An answer within twice the program's time still earns something.
-    const bool isLost = times.left && times.aim && *times.left + *times.aim < duration::zero();
+    const bool isLost = times.timeLeft && times.timeBudget
+        && *times.timeLeft + *times.timeBudget < duration::zero();
     ticket.feasibility = isLost ? deadline_feasibility::Lost : deadline_feasibility::Late;
     return ticket;
 }
--- a/src/program/program_registry.cpp
+++ b/src/program/program_registry.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// What the chat template may put around the reply when it comes back as part of a prompt.
+/// Upper bound on the tokens that the chat template adds around a reply when the reply becomes part
+/// of a prompt.
 constexpr std::int64_t chatTemplateTokens = 16;
 
 tl::unexpected<refusal> refuse(refusal_reason reason, std::string detail)
@@ -24,13 +25,13 @@
     return it == m_programs.end() ? nullptr : &it->second;
 }
 
-void program_registry::forget(const program_id &id)
+void program_registry::erase(const program_id &id)
 {
     const auto it = m_programs.find(id);
     if (it == m_programs.end())
         return;
-    if (it->second.open)
-        addReserved(id, -it->second.open->reservedTokens);
+    if (it->second.openCall)
+        addReserved(id, -it->second.openCall->reservedTokens);
     if (const auto parent = m_programs.find(it->second.parent); parent != m_programs.end())
         std::erase(parent->second.children, id);
     m_programs.erase(it);
@@ -76,8 +77,8 @@
     const program *parent = find(created.parent);
     if (!parent)
         return refuse(refusal_reason::UnknownProgram, "unknown parent");
-    if (auto over = refusalIfEnded(*parent, nowUnixMs))
-        return tl::unexpected(std::move(*over));
+    if (auto rejection = refusalIfEnded(*parent, nowUnixMs))
+        return tl::unexpected(std::move(*rejection));
     return {};
 }
 
@@ -87,44 +88,44 @@
     const program *p = find(request.program);
     if (!p)
         return refuse(refusal_reason::UnknownProgram, request.program.value);
-    if (const auto it = p->keys.find(request.key);
-        it != p->keys.end() && it->second != request.turn) {
+    if (const auto it = p->turnByKey.find(request.key);
+        it != p->turnByKey.end() && it->second != request.turn) {
         return refuse(refusal_reason::KeyReused,
-                      fmt::format("the key was used for turn {}", it->second));
+                      fmt::format("the key was already used for turn {}", it->second));
     }
-    if (p->open && p->open->turn == request.turn) {
-        if (p->open->key != request.key)
-            return refuse(refusal_reason::KeyReused, "the turn is under way with another key");
-        return attach_to_call{*p->open};
+    if (p->openCall && p->openCall->turn == request.turn) {
+        if (p->openCall->key != request.key)
+            return refuse(refusal_reason::KeyReused, "the turn is in progress under another key");
+        return attach_to_call{*p->openCall};
     }
-    if (const auto it = p->closed.find(request.turn); it != p->closed.end()) {
+    if (const auto it = p->closedCalls.find(request.turn); it != p->closedCalls.end()) {
         if (it->second.key != request.key)
-            return refuse(refusal_reason::KeyReused, "the turn has ended with another key");
+            return refuse(refusal_reason::KeyReused, "the turn has ended under another key");
         return replay_answer{it->second};
     }
-    if (auto over = refusalIfEnded(*p, nowUnixMs))
-        return tl::unexpected(std::move(*over));
+    if (auto rejection = refusalIfEnded(*p, nowUnixMs))
+        return tl::unexpected(std::move(*rejection));
     const std::int64_t next = p->lastTurn + 1;
-    if (p->open && request.turn == p->open->turn + 1)
+    if (p->openCall && request.turn == p->openCall->turn + 1)
         return wait_for_previous_turn{};
     if (request.turn != next) {
         return refuse(refusal_reason::TurnOutOfOrder,
-                      fmt::format("turn {} came, turn {} comes next", request.turn, next));
+                      fmt::format("got turn {}, expected turn {}", request.turn, next));
     }
     if (p->maxTurns != 0 && request.turn > p->maxTurns) {
         return refuse(refusal_reason::TooManyTurns,
                       fmt::format("the class allows {} turns", p->maxTurns));
     }
-    // The prompt of a model call is the whole history and the new messages.
-    const std::int64_t wanted
+    // The prompt of a model call consists of the whole history and the new messages.
+    const std::int64_t needed
         = request.reserveTokens + (request.kind == call_kind::Model ? p->historyTokens : 0);
     const std::int64_t free = freeTokens(request.program);
-    if (wanted > free) {
+    if (needed > free) {
         return refuse(refusal_reason::BudgetExhausted,
-                      fmt::format("{} tokens wanted, {} free", wanted, free));
+                      fmt::format("{} tokens requested, {} available", needed, free));
     }
     return begin_call{call_begun{request.program, request.turn, request.key, request.kind,
-                                 request.idempotent, wanted}};
+                                 request.idempotent, needed}};
 }
 
 void program_registry::create(const program_created &r)
@@ -180,17 +181,17 @@
 
 void program_registry::settle(program &p, std::int64_t spent)
 {
-    addReserved(p.id, -p.open->reservedTokens);
+    addReserved(p.id, -p.openCall->reservedTokens);
     addSpent(p.id, spent);
-    p.open.reset();
+    p.openCall.reset();
 }
 
 void program_registry::applyTo(program &p, const call_begun &r)
 {
-    if (p.open)
+    if (p.openCall)
         return;
-    p.open = open_call{r.turn, r.key, r.kind, r.idempotent, r.reservedTokens};
-    p.keys.try_emplace(r.key, r.turn);
+    p.openCall = open_call{r.turn, r.key, r.kind, r.idempotent, r.reservedTokens};
+    p.turnByKey.try_emplace(r.key, r.turn);
     if (!r.engine.empty())
         p.engines.insert(r.engine);
     addReserved(p.id, r.reservedTokens);
@@ -198,7 +199,7 @@
 
 void program_registry::applyTo(program &p, const call_finished &r)
 {
-    if (!p.open || p.open->turn != r.turn || p.open->key != r.key)
+    if (!p.openCall || p.openCall->turn != r.turn || p.openCall->key != r.key)
         return;
     settle(p, r.spentTokens);
     p.lastTurn = r.turn;
@@ -210,21 +211,22 @@
         p.history += r.messages;
         p.historyTokens = r.spentTokens + chatTemplateTokens;
     }
-    p.closed[r.turn] = closed_call{r.key, std::nullopt, r.status, r.reply, r.contentType};
+    p.closedCalls[r.turn] = closed_call{r.key, std::nullopt, r.status, r.reply, r.contentType};
 }
 
 void program_registry::applyTo(program &p, const call_failed &r)
 {
-    if (!p.open || p.open->turn != r.turn || p.open->key != r.key)
+    if (!p.openCall || p.openCall->turn != r.turn || p.openCall->key != r.key)
         return;
-    // A model only reads and writes text, so its turn may run again after a death in mid-stream;
-    // each attempt is charged. Closed as unknown, the turn could never get its whole answer.
-    const bool repeatable = p.open->kind == call_kind::Model || p.open->idempotent;
+    // A model call has no side effects, so its turn may run again after a daemon failed in
+    // mid-stream; each attempt is charged. If it were closed as unknown, the caller could never get
+    // the complete response.
+    const bool repeatable = p.openCall->kind == call_kind::Model || p.openCall->idempotent;
     settle(p, r.spentTokens);
     if (r.ran == outcome::DidNotRun || repeatable)
         return;
     p.lastTurn = r.turn;
-    p.closed[r.turn] = closed_call{r.key, r.ran, 0, {}, {}};
+    p.closedCalls[r.turn] = closed_call{r.key, r.ran, 0, {}, {}};
 }
 
 void program_registry::applyTo(program &p, const program_ended &r)
--- a/src/program/release_planner.cpp
+++ b/src/program/release_planner.cpp
@@ -8,15 +8,16 @@
 
 constexpr duration initialReleaseRetryDelay = seconds(1);
 constexpr duration maxReleaseRetryDelay = seconds(30);
-/// The host list is late: an engine that it doesn't name may be back after a moment.
+/// The host list lags: an engine that is missing from it may be listed again shortly after.
 constexpr duration engineAbsenceTimeout = seconds(120);
-/// Bound on what one poll asks for, so that a mass end doesn't flood the engines.
+/// Limit on concurrent releases, so that the end of many programs at once doesn't flood the
+/// engines.
 constexpr std::size_t maxReleasesInFlight = 32;
 
-/// A call that is under way would fill the engine's memory again after its release.
+/// A call in progress would fill the engine's cache again after the release.
 bool isReleasable(const program &p)
 {
-    return p.ended && !p.open;
+    return p.ended && !p.openCall;
 }
 
 } // namespace
@@ -28,17 +29,17 @@
         m_lastListedAt[engine] = now;
 }
 
-std::vector<release_order> release_planner::poll(const program_registry &book, time_point now)
+std::vector<release_order> release_planner::poll(const program_registry &registry, time_point now)
 {
     std::erase_if(m_attempts, [&](const auto &entry) {
-        const program *p = book.find(entry.first.program);
-        return !entry.second.underWay && (!p || !p->engines.count(entry.first.engine));
+        const program *p = registry.find(entry.first.program);
+        return !entry.second.inFlight && (!p || !p->engines.count(entry.first.engine));
     });
-    auto underWay = static_cast<std::size_t>(
+    auto inFlight = static_cast<std::size_t>(
         std::count_if(m_attempts.begin(), m_attempts.end(),
-                      [](const auto &entry) { return entry.second.underWay; }));
+                      [](const auto &entry) { return entry.second.inFlight; }));
     std::vector<release_order> orders;
-    for (const auto &[id, p] : book.programs()) {
+    for (const auto &[id, p] : registry.programs()) {
         if (!isReleasable(p))
             continue;
         for (const upstream_id &engine : p.engines) {
@@ -46,32 +47,33 @@
             attempt &a
                 = m_attempts.try_emplace(order, attempt{false, now, initialReleaseRetryDelay})
                       .first->second;
-            if (a.underWay || now < a.nextAttemptAt || underWay >= maxReleasesInFlight)
+            if (a.inFlight || now < a.nextAttemptAt || inFlight >= maxReleasesInFlight)
                 continue;
-            a.underWay = true;
-            ++underWay;
+            a.inFlight = true;
+            ++inFlight;
             orders.push_back(order);
         }
     }
     return orders;
 }
 
-void release_planner::onAnswer(const release_order &order, bool confirmed, time_point now)
+void release_planner::onResponse(const release_order &order, bool confirmed, time_point now)
 {
     const auto it = m_attempts.find(order);
     if (it == m_attempts.end())
         return;
     attempt &a = it->second;
-    a.underWay = false;
-    a.nextAttemptAt = now + a.pause;
+    a.inFlight = false;
+    a.nextAttemptAt = now + a.retryDelay;
     if (!confirmed)
-        a.pause = std::min(a.pause * 2, maxReleaseRetryDelay);
+        a.retryDelay = std::min(a.retryDelay * 2, maxReleaseRetryDelay);
 }
 
-std::vector<release_order> release_planner::gone(const program_registry &book, time_point now) const
+std::vector<release_order> release_planner::ordersForLostEngines(const program_registry &registry,
+                                                                 time_point now) const
 {
     std::vector<release_order> orders;
-    for (const auto &[id, p] : book.programs()) {
+    for (const auto &[id, p] : registry.programs()) {
         if (!isReleasable(p))
             continue;
         for (const upstream_id &engine : p.engines) {
@@ -84,13 +86,13 @@
     return orders;
 }
 
-std::vector<release_order> release_planner::reconcile(const program_registry &book,
+std::vector<release_order> release_planner::reconcile(const program_registry &registry,
                                                       const upstream_id &engine,
                                                       const std::vector<program_id> &held)
 {
     std::vector<release_order> orders;
     for (const program_id &id : held) {
-        const program *p = book.find(id);
+        const program *p = registry.find(id);
         if (!p || isReleasable(*p))
             orders.push_back({id, engine});
     }
--- a/src/turns/row_retention_tracker.cpp
+++ b/src/turns/row_retention_tracker.cpp
@@ -12,17 +12,17 @@
 void row_retention_tracker::onAccountChanged(const program_id &program, store_version version,
                                              time_point until)
 {
-    entry &e = m_programs[program];
+    tracked_program &e = m_programs[program];
     e.version = std::max(e.version, version);
-    e.until = std::max(e.until, until);
+    e.retainUntil = std::max(e.retainUntil, until);
 }
 
 std::vector<row_retention_tracker::expired_program>
-row_retention_tracker::takeExpired(time_point now, std::size_t most)
+row_retention_tracker::takeExpired(time_point now, std::size_t maxPrograms)
 {
     std::vector<expired_program> due;
-    for (auto it = m_programs.begin(); it != m_programs.end() && due.size() < most;) {
-        if (it->second.until > now) {
+    for (auto it = m_programs.begin(); it != m_programs.end() && due.size() < maxPrograms;) {
+        if (it->second.retainUntil > now) {
             ++it;
             continue;
         }
--- a/src/turns/turn_cache.cpp
+++ b/src/turns/turn_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// What a turn takes beside its texts: ids, map nodes, the shared pointer.
+/// Memory of a turn besides its texts: ids, map nodes, the shared pointer.
 constexpr std::size_t overheadBytes = 512;
 
 std::size_t sizeOf(const turn &t)
@@ -19,7 +19,7 @@
     const auto found = m_entries.find(id);
     if (found == m_entries.end())
         return nullptr;
-    m_lruOrder.splice(m_lruOrder.end(), m_lruOrder, found->second.age);
+    m_lruOrder.splice(m_lruOrder.end(), m_lruOrder, found->second.lruPosition);
     return found->second.value;
 }
 
@@ -38,7 +38,7 @@
 {
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         const auto next = std::next(it);
-        if (it->second.until <= now)
+        if (it->second.retainUntil <= now)
             erase(it);
         it = next;
     }
@@ -47,7 +47,7 @@
 void turn_cache::erase(std::unordered_map<turn_id, entry>::iterator it)
 {
     m_bytes -= sizeOf(*it->second.value);
-    m_lruOrder.erase(it->second.age);
+    m_lruOrder.erase(it->second.lruPosition);
     m_entries.erase(it);
 }
 
--- a/src/turns/turn_ledger_reads.cpp
+++ b/src/turns/turn_ledger_reads.cpp
@@ -11,11 +11,11 @@
     const account_ptr state = accountOf(program);
     std::map<turn_id, decoded_turn> turns = turn_rows::readTurns(rows);
     recordEndedTurns(*state, turns);
-    if (!state->busy) {
+    if (!state->isChanging) {
         updateAccount(*state, rows);
         settleEndedTurns(*state);
     }
-    // The chain from the wanted turn back to its start, then built from the start on.
+    // Collects the chain from the wanted turn back to its start, then links it from the start.
     std::vector<decoded_turn *> chain;
     turn_ptr last;
     for (turn_id id = wanted; !id.empty();) {
@@ -47,10 +47,10 @@
     const auto page = co_await m_store.read(std::move(range), deadline);
     if (!page)
         co_return tl::unexpected(page.error());
-    turn_lookup view;
-    view.found = processProgramRows(program, page->rows, wanted);
-    view.readAt = page->version;
-    co_return view;
+    turn_lookup lookup;
+    lookup.found = processProgramRows(program, page->rows, wanted);
+    lookup.readVersion = page->version;
+    co_return lookup;
 }
 
 awaitable<store_result<turn_ledger::turn_lookup>> turn_ledger::readByIndex(turn_id wanted,
@@ -88,54 +88,56 @@
 turn_ledger::locate(turn_id wanted, time_point deadline)
 {
     row_name name = turn_rows::index(wanted);
-    const auto entry = co_await readNewestRow(std::move(name), deadline);
-    if (!entry)
-        co_return tl::unexpected(entry.error());
-    if (entry->version == 0)
+    const auto indexRow = co_await readNewestRow(std::move(name), deadline);
+    if (!indexRow)
+        co_return tl::unexpected(indexRow.error());
+    if (indexRow->version == 0)
         co_return std::nullopt;
-    // An entry outlives its turn when another daemon added the turn than the one that removes the
-    // program, or the turn was never added: then there is no such turn.
-    const program_id program{entry->value};
+    // An index row can exist without its turn: if the turn was never added, or if the program's
+    // rows were removed by another daemon than the one that added the turn. Then there is no such
+    // turn.
+    const program_id program{indexRow->value};
     name = turn_rows::firstChunk(program, wanted);
-    const auto piece = co_await readNewestRow(std::move(name), deadline);
-    if (!piece)
-        co_return tl::unexpected(piece.error());
-    if (piece->version == 0)
+    const auto firstChunk = co_await readNewestRow(std::move(name), deadline);
+    if (!firstChunk)
+        co_return tl::unexpected(firstChunk.error());
+    if (firstChunk->version == 0)
         co_return std::nullopt;
-    co_return turn_location{program, piece->version};
+    co_return turn_location{program, firstChunk->version};
 }
 
 awaitable<tl::expected<turn_ptr, turn_refusal>>
-turn_ledger::readUntilVisible(turn_location place, turn_id wanted, time_point deadline)
+turn_ledger::readUntilVisible(turn_location location, turn_id wanted, time_point deadline)
 {
-    duration pause = minStoreRetryDelay;
-    store_result<turn_lookup> view;
+    duration retryDelay = minStoreRetryDelay;
+    store_result<turn_lookup> lookup;
     while (runtime_clock::now() < deadline) {
-        view = co_await readProgram(place.program, wanted, storeAttemptDeadline(deadline));
-        if (view && view->found)
-            co_return view->found;
-        // What was read after the turn was added shows it as it is; what is older says nothing.
-        if (view && view->readAt >= place.version) {
-            logTurnNotLoaded(place.program, wanted, load_failure::Chain, "");
+        lookup = co_await readProgram(location.program, wanted, storeAttemptDeadline(deadline));
+        if (lookup && lookup->found)
+            co_return lookup->found;
+        // A read of at least the turn's version is conclusive; an older one is not.
+        if (lookup && lookup->readVersion >= location.version) {
+            logTurnNotLoaded(location.program, wanted, load_failure::Chain, "");
             co_return tl::unexpected(turn_refusal::TurnUnreadable);
         }
-        if (!view && !m_store.isReachable())
+        if (!lookup && !m_store.isReachable())
             break;
-        co_await sleepFor(std::min(pause, deadline - runtime_clock::now()));
-        pause = std::min(2 * pause, maxStoreRetryDelay);
+        co_await sleepFor(std::min(retryDelay, deadline - runtime_clock::now()));
+        retryDelay = std::min(2 * retryDelay, maxStoreRetryDelay);
     }
-    const std::string detail = view ? "" : view.error().detail;
-    logTurnNotLoaded(place.program, wanted, view ? load_failure::Lag : load_failure::Read, detail);
-    co_return tl::unexpected(view ? turn_refusal::ReadsLag : turn_refusal::StoreUnavailable);
+    const std::string detail = lookup ? "" : lookup.error().detail;
+    logTurnNotLoaded(location.program, wanted, lookup ? load_failure::Lag : load_failure::Read,
+                     detail);
+    co_return tl::unexpected(lookup ? turn_refusal::ReadsLag : turn_refusal::StoreUnavailable);
 }
 
 void turn_ledger::logTurnNotLoaded(const program_id &program, const turn_id &wanted,
-                                   load_failure step, const std::string &detail) const
+                                   load_failure failure, const std::string &detail) const
 {
     logDecision(log_event::TurnNotLoaded,
                 {{"program", program.value},
                  {"turn", wanted.value},
-                 {"step", std::string(toName(step))},
+                 {"step", std::string(toName(failure))},
                  {"detail", detail},
                  {"reachable", m_store.isReachable()}});
 }
@@ -152,15 +154,15 @@
     }
     load_failure failed = load_failure::Read;
     std::string detail;
-    // One lost answer must not refuse the turn: the second try takes a new connection.
+    // A single lost response must not refuse the turn: the second attempt uses a new connection.
     constexpr int tries = 2;
     for (int i = 0; i < tries && runtime_clock::now() < deadline; ++i) {
         const time_point until = storeAttemptDeadline(deadline);
         auto found = co_await readProgram(program, previous, until);
         if (found && !found->found)
             found = co_await readByIndex(previous, until);
-        // Another account's turn takes the same calls as one that is not there, so that the time of
-        // the answer does not tell them apart.
+        // A turn of another account takes the same calls as an absent one, so that the response
+        // time does not reveal its existence.
         const bool isForeign = found && found->found && !mayContinue(*found->found, asker);
         if (found && found->found && !isForeign)
             co_return found->found;
@@ -168,18 +170,18 @@
         if (!found) {
             detail = found.error().detail;
         } else {
-            // A read may lag behind; only a condition says for certain that there is no such turn.
-            const auto place = co_await locate(previous, until);
-            if (place && (!*place || isForeign))
+            // Reads may be stale; only a condition confirms that there is no such turn.
+            const auto location = co_await locate(previous, until);
+            if (location && (!*location || isForeign))
                 co_return tl::unexpected(turn_refusal::NoSuchTurn);
-            if (place) {
-                auto late = co_await readUntilVisible(**place, previous, deadline);
-                if (late && !mayContinue(**late, asker))
+            if (location) {
+                auto lateTurn = co_await readUntilVisible(**location, previous, deadline);
+                if (lateTurn && !mayContinue(**lateTurn, asker))
                     co_return tl::unexpected(turn_refusal::NoSuchTurn);
-                co_return late;
+                co_return lateTurn;
             }
             failed = load_failure::Confirm;
-            detail = place.error().detail;
+            detail = location.error().detail;
         }
         if (!m_store.isReachable())
             break;
--- a/src/turns/turn_rows.cpp
+++ b/src/turns/turn_rows.cpp
@@ -12,13 +12,14 @@
 constexpr std::string_view indexTable = "turn-index";
 constexpr std::string_view accountKey = "account";
 constexpr std::string_view turnPrefix = "turn/";
-/// Parts of the index: transactions of one part go one after the other, so it is spread over many.
+/// Partitions of the index. Transactions on one partition are serialised, so the index is spread
+/// over many.
 constexpr std::uint64_t indexParts = 256;
 
-std::string chunkKey(const turn_id &id, std::size_t piece)
+std::string chunkKey(const turn_id &id, std::size_t chunk)
 {
-    // Fixed width, so that the pieces come in order.
-    return fmt::format("{}{}#{:04}", turnPrefix, id.value, piece);
+    // Zero-padded, so that key order is chunk order.
+    return fmt::format("{}{}#{:04}", turnPrefix, id.value, chunk);
 }
 
 } // namespace
@@ -44,7 +45,7 @@
     return {std::string(turnTable), program.value, "", ""};
 }
 
-std::vector<row_value> pieces(const turn &t, const program_id &program, std::size_t rowBytes)
+std::vector<row_value> encodeRows(const turn &t, const program_id &program, std::size_t rowBytes)
 {
     const std::string value = encodeTurn(t);
     std::vector<row_value> rows;
--- a/test/io/callers_history_test.cpp
+++ b/test/io/callers_history_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-// doctest's macros are used by the world.
+// entry_world.h uses doctest's macros.
 #include "entry_world.h"
 #include "fake_store.h"
 
@@ -15,7 +15,7 @@
     return answer.size() > 12 ? std::stoi(answer.substr(9, 3)) : 0;
 }
 
-/// \brief A daemon's ledger on a store that others share.
+/// \brief The turn ledger of one daemon, on a store shared with other daemons.
 struct ledger_host
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
@@ -24,39 +24,40 @@
     turn_ledger ledger;
 };
 
-/// \brief One turn of a program whose caller keeps its history.
+/// \brief One turn of a program whose client keeps the history.
 struct planned_turn
 {
     std::string id;
     std::int64_t used = 0;
-    /// The daemon dies before it settles the turn.
+    /// Whether the daemon fails before it settles the turn.
     bool daemonDies = false;
 };
 
-constexpr std::int64_t mostOfTurn = 50;
-constexpr std::int64_t budgetOfProgram = 300;
+constexpr std::int64_t maxTurnTokens = 50;
+constexpr std::int64_t programBudget = 300;
 
-/// \brief Holds, answers and settles \p turn at \p host; what is handed out goes to \p handed.
-awaitable<void> runTurn(ledger_host &host, planned_turn turn, std::int64_t &handed, int &underWay)
+/// \brief Reserves, runs and settles \p turn at \p host, and adds its output to \p deliveredTokens.
+awaitable<void> runTurn(ledger_host &host, planned_turn turn, std::int64_t &deliveredTokens,
+                        int &turnsInFlight)
 {
     const program_id program{"p"};
-    const turn_claim claim{{turn.id},  program, budgetOfProgram, mostOfTurn,
+    const turn_claim claim{{turn.id},  program, programBudget, maxTurnTokens,
                            seconds(5), true,    seconds(60)};
     co_await host.ledger.refresh(program, runtime_clock::now() + seconds(1));
     const auto held = co_await host.ledger.reserve(claim, runtime_clock::now() + seconds(1));
     if (held)
-        handed += turn.used;
+        deliveredTokens += turn.used;
     const bool mayBeHeld = held || held.error() == turn_refusal::InDoubt;
     if (mayBeHeld && !turn.daemonDies)
         co_await host.ledger.settleHold(claim, held ? turn.used : 0);
-    --underWay;
+    --turnsInFlight;
 }
 
 } // namespace
 
 TEST_SUITE("turns whose callers keep the history")
 {
-    // Guards against programs that spend many times their budget where no history is kept.
+    // Guards against programs that spend a multiple of their budget if their history is not stored.
     TEST_CASE("a budget holds")
     {
         entry_world w;
@@ -81,7 +82,8 @@
         }
     }
 
-    // Guards against a write of the store at each end, and against holds that use up a budget.
+    // Guards against a store write at the end of each turn, and against unsettled holds that
+    // exhaust the budget.
     TEST_CASE("ends are settled once half of the budget is committed")
     {
         entry_world w;
@@ -109,7 +111,7 @@
         }
     }
 
-    // Guards against tokens of a broken answer that are not charged.
+    // Guards against tokens of an incomplete response that are not charged.
     TEST_CASE("a turn that broke off is charged what was handed out")
     {
         entry_world w;
@@ -120,7 +122,7 @@
         CHECK(statusOf(w.chat("t2", "one;two;", 45)) == 402);
     }
 
-    // Guards against a budget that shrinks by turns that never ran.
+    // Guards against charging turns that did not run.
     TEST_CASE("a turn that no replica ran costs nothing")
     {
         entry_world w;
@@ -134,7 +136,7 @@
         CHECK(statusOf(w.chat("t9", "one;", 45)) == 200);
     }
 
-    // Guards against turns that run unheld while the store is away.
+    // Guards against turns that run without a reservation while the store is unavailable.
     TEST_CASE("no turn runs that the store did not hold")
     {
         entry_world w;
@@ -143,7 +145,7 @@
         CHECK(w.model.arrived.empty());
     }
 
-    // Guards against a prompt that the daemon adds to or takes from.
+    // Guards against changes of the prompt by the daemon.
     TEST_CASE("the replica reads what the caller sent")
     {
         entry_world w;
@@ -154,7 +156,8 @@
         CHECK(w.model.arrived[1].ends_with("\r\n\r\none;e1;two;"));
     }
 
-    // Guards against budgets that are passed by parallel turns, lost answers and deaths.
+    // Guards against budgets that are exceeded due to parallel turns, lost responses and failed
+    // daemons.
     TEST_CASE("whatever the store does and whichever daemon dies, a budget holds")
     {
         CHECK(rc::check("handed tokens stay within the budget", [] {
@@ -173,27 +176,29 @@
                     return n < 6 ? static_cast<store_fault>(n) : store_fault::None;
                 };
             }
-            std::int64_t handed = 0;
-            int underWay = 0;
-            const auto story = [&]() -> awaitable<void> {
+            std::int64_t deliveredTokens = 0;
+            int turnsInFlight = 0;
+            const auto scenario = [&]() -> awaitable<void> {
                 const asio::any_io_executor executor = co_await asio::this_coro::executor;
                 for (int i = 0; i < turns; ++i) {
-                    const std::size_t place = std::size_t(faults[std::size_t(i)]) % hosts.size();
+                    const std::size_t hostIndex
+                        = std::size_t(faults[std::size_t(i)]) % hosts.size();
                     const bool daemonDies = dies[std::size_t(i)] == 0;
                     planned_turn turn{"t" + std::to_string(i), 20 + 2 * faults[std::size_t(i) + 24],
                                       daemonDies};
-                    ++underWay;
-                    spawn(executor, "turn", runTurn(hosts[place], turn, handed, underWay));
-                    // Up to three at a time.
-                    while (underWay > dies[std::size_t(i)] % 3)
+                    ++turnsInFlight;
+                    spawn(executor, "turn",
+                          runTurn(hosts[hostIndex], turn, deliveredTokens, turnsInFlight));
+                    // Up to three turns in parallel.
+                    while (turnsInFlight > dies[std::size_t(i)] % 3)
                         co_await sleepFor(milliseconds(5));
                     for (ledger_host &h : hosts)
-                        h.access.settleLate();
+                        h.access.applyDelayedWrites();
                 }
             };
             const paused_clock pause;
-            runInSteps(context, story(), milliseconds(250));
-            RC_ASSERT(handed <= budgetOfProgram);
+            runInSteps(context, scenario(), milliseconds(250));
+            RC_ASSERT(deliveredTokens <= programBudget);
         }));
     }
 }
--- a/test/io/fake_store.h
+++ b/test/io/fake_store.h
@@ -9,24 +9,33 @@
 
 namespace azurehill::test {
 
-/// \brief What goes wrong with one call of the store.
-enum class store_fault { None, Refused, Limited, RequestDropped, ResponseDropped, Late, Slow };
+/// \brief Fault to inject into one call of the store.
+enum class store_fault {
+    None,
+    Refused,
+    Limited,
+    RequestDropped,
+    ResponseDropped,
+    DelayedWrite,
+    Slow
+};
 
-/// \brief A store in memory whose calls fail as a test wants it.
+/// \brief In-memory store with fault injection.
 class fake_store : public store
 {
 public:
     explicit fake_store(row_store &rows) : m_rows(rows) { }
 
-    /// What goes wrong with the next call.
+    /// Returns the fault of the next call.
     std::function<store_fault()> nextFault = [] { return store_fault::None; };
     bool reachable = true;
     int calls = 0;
-    /// Rows that answers held.
+    /// Number of rows returned by reads and changes.
     std::size_t rowsRead = 0;
-    /// The store has forgotten what changed.
+    /// Whether changes() fails because the history of changes has been dropped.
     bool isHistoryGone = false;
-    /// Reads show these rows instead of the newest ones; conditions are answered from the newest.
+    /// If set, reads return these rows instead of the newest ones. Conditions always use the
+    /// newest.
     const row_store *staleRows = nullptr;
 
     awaitable<store_result<store_version>> transact(store_transaction t,
@@ -43,8 +52,8 @@
             co_return tl::unexpected(store_error{store_error_kind::Limited, "limited", {}});
         if (fault == store_fault::RequestDropped)
             co_return tl::unexpected(lost());
-        if (fault == store_fault::Late) {
-            m_late.push_back(std::move(t));
+        if (fault == store_fault::DelayedWrite) {
+            m_delayedWrites.push_back(std::move(t));
             co_return tl::unexpected(lost());
         }
         auto done = m_rows.apply(t);
@@ -86,10 +95,10 @@
 
     bool isReachable() const override { return reachable; }
 
-    /// \brief Lets the writes that were held up take effect, if their conditions still hold.
-    void settleLate()
+    /// \brief Applies the delayed writes whose conditions still hold.
+    void applyDelayedWrites()
     {
-        for (const store_transaction &t : std::exchange(m_late, {}))
+        for (const store_transaction &t : std::exchange(m_delayedWrites, {}))
             static_cast<void>(m_rows.apply(t));
     }
 
@@ -108,7 +117,7 @@
     }
 
     row_store &m_rows;
-    std::vector<store_transaction> m_late;
+    std::vector<store_transaction> m_delayedWrites;
 };
 
 } // namespace azurehill::test
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -20,8 +20,8 @@
     turn_claim claim;
     claim.id = {id};
     claim.program = {"p"};
-    claim.budget = 1000;
-    claim.most = 50;
+    claim.budgetTokens = 1000;
+    claim.maxOutputTokens = 50;
     return claim;
 }
 
--- a/test/io/turn_ledger_test.cpp
+++ b/test/io/turn_ledger_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const account_id nobody;
+const account_id noAccount;
 
 void runPaused(asio::io_context &context, awaitable<void> body)
 {
@@ -37,12 +37,12 @@
 }
 
 turn_claim claimFor(const std::string &id, const program_id &program, std::int64_t budget,
-                    std::int64_t most)
+                    std::int64_t maxOutputTokens)
 {
-    return {{id}, program, budget, most, seconds(5), true};
+    return {{id}, program, budget, maxOutputTokens, seconds(5), true};
 }
 
-/// \brief A daemon's ledger on a store that others share.
+/// \brief The turn ledger of one daemon, on a store shared with other daemons.
 struct ledger_host
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
@@ -51,15 +51,15 @@
     turn_ledger ledger;
 };
 
-/// \brief Reserves \p most of \p budget for the turn \p id.
-awaitable<tl::expected<void, turn_refusal>> reserveFor(turn_ledger &ledger, const char *id,
-                                                       std::int64_t budget, std::int64_t most)
+/// \brief Reserves \p maxOutputTokens of \p budget for the turn \p id.
+awaitable<tl::expected<void, turn_refusal>>
+reserveFor(turn_ledger &ledger, const char *id, std::int64_t budget, std::int64_t maxOutputTokens)
 {
-    turn_claim claim = claimFor(id, {"p1"}, budget, most);
+    turn_claim claim = claimFor(id, {"p1"}, budget, maxOutputTokens);
     co_return co_await ledger.reserve(std::move(claim), later(seconds(1)));
 }
 
-/// \brief Reserves, and commits a turn that used \p used tokens. \returns the turn, or null.
+/// \brief Reserves and commits a turn that used \p used tokens. \returns the turn, or null.
 awaitable<turn_ptr> runTurn(turn_ledger &ledger, turn_claim claim, turn_ptr previous,
                             std::int64_t used)
 {
@@ -71,7 +71,7 @@
     co_return done ? t : nullptr;
 }
 
-/// \brief Two daemons on one store, and the program of most stories.
+/// \brief Two daemons on one store, and the program that most scenarios use.
 struct ledger_pair
 {
     row_store rows;
@@ -80,7 +80,7 @@
     asio::io_context context;
     program_id program{"p1"};
 
-    /// \brief Runs the turn \p id of the program after \p previous, with room in its budget.
+    /// \brief Runs the turn \p id of the program after \p previous, within its budget.
     awaitable<turn_ptr> runUsual(turn_ledger &ledger, const char *id, turn_ptr previous)
     {
         const turn_claim claim = claimFor(id, program, 1000, 50);
@@ -101,38 +101,38 @@
 
         SUBCASE("the next turn comes to another daemon, which reads the whole chain")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 co_await w.runUsual(first.ledger, "t2", a);
                 const turn_id wanted{"t2"};
                 const auto found
-                    = co_await second.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await second.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE(found);
                 CHECK(buildPrompt(*found, "new") == "in-t1;out-t1\nin-t2;out-t2\nnew");
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("another program goes on from it, and its own part then holds the chain")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 const program_id other{"p2"};
                 const turn_id t1{"t1"};
                 const auto found
-                    = co_await second.ledger.load(nobody, other, t1, later(seconds(1)));
+                    = co_await second.ledger.load(noAccount, other, t1, later(seconds(1)));
                 REQUIRE(found);
                 const turn_claim two = claimFor("t2", other, 1000, 50);
                 const turn_ptr b = co_await runTurn(second.ledger, two, *found, 10);
                 REQUIRE(b);
                 CHECK(rows.read(turn_rows::programRange(other)).rows.size() == 3);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a turn larger than a row is cut into pieces and comes back whole")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 auto t = std::make_shared<turn>(*makeTurn("big", program, nullptr));
                 t->input.assign(200'000, 'x');
                 const auto done
@@ -140,11 +140,11 @@
                 REQUIRE(done);
                 const turn_id wanted{"big"};
                 const auto found
-                    = co_await second.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await second.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE(found);
                 CHECK((*found)->input.size() == 200'000);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -158,18 +158,18 @@
 
         SUBCASE("the store confirms that there is no such turn")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const auto found
-                    = co_await host.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await host.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE_FALSE(found);
                 CHECK(found.error() == turn_refusal::NoSuchTurn);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("its row is there and can't be read: nobody can know")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 ledger_host writer(rows);
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await runTurn(writer.ledger, one, nullptr, 50);
@@ -178,34 +178,34 @@
                 static_cast<void>(rows.apply(t));
                 const turn_id spoiled{"t1"};
                 const auto b
-                    = co_await host.ledger.load(nobody, program, spoiled, later(seconds(1)));
+                    = co_await host.ledger.load(noAccount, program, spoiled, later(seconds(1)));
                 REQUIRE_FALSE(b);
                 CHECK(b.error() == turn_refusal::TurnUnreadable);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("the store is away: nobody can know")
         {
-            // A user's next page was answered 404 in an outage, and the lesson ended. The daemon
-            // had not seen the turn before and took "could not read" for "is not there".
+            // Guards against a 404 in an outage, which ends the client's program: a daemon that has
+            // not cached the preceding turn must not treat a failed read as "not found".
             host.access.nextFault = [] { return store_fault::Refused; };
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const auto found
-                    = co_await host.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await host.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE_FALSE(found);
                 CHECK(found.error() == turn_refusal::StoreUnavailable);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
     TEST_CASE("a turn that is there is read as soon as the reads show it")
     {
-        // After all hosts had lost their power, turns that went on from earlier ones were refused
-        // eight times in a row, each within 100 ms, and no replica was asked. A ledger whose reads
-        // lag refuses like that: "step":"chain" after two tries without a pause between them, for
-        // as long as the lag lasts.
+        // Guards against refusals while the store's reads lag. After a power failure of all hosts,
+        // turns that continued earlier ones were refused eight times in a row, each within 100 ms,
+        // and no replica was called. A ledger that makes two attempts without a delay in between
+        // refuses in this way ("step":"chain") until the reads have caught up.
         ledger_pair w;
         auto &[rows, first, second, context, program] = w;
         row_store before;
@@ -217,58 +217,58 @@
                 co_await sleepFor(milliseconds(600));
                 second.access.staleRows = nullptr;
             };
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 spawn(context.get_executor(), "catchUp", catchUp());
                 const turn_id wanted{"t1"};
-                const auto found = co_await second.ledger.load(nobody, program, wanted,
+                const auto found = co_await second.ledger.load(noAccount, program, wanted,
                                                                later(milliseconds(1500)));
                 CHECK(found);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("reads that stay behind end in a refusal, after few calls")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 const turn_id wanted{"t1"};
                 const time_point began = runtime_clock::now();
-                const auto found = co_await second.ledger.load(nobody, program, wanted,
+                const auto found = co_await second.ledger.load(noAccount, program, wanted,
                                                                later(milliseconds(1500)));
                 REQUIRE_FALSE(found);
                 CHECK(toName(found.error()) == "reads_lag");
                 CHECK(runtime_clock::now() - began >= milliseconds(1000));
                 CHECK(second.access.calls <= 24);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a row that can't be read does not change by waiting")
         {
             second.access.staleRows = nullptr;
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 store_transaction t;
                 t.writes.push_back({turn_rows::firstChunk(program, {"t1"}), "\xff\xfe"});
                 static_cast<void>(rows.apply(t));
                 const turn_id wanted{"t1"};
                 const time_point began = runtime_clock::now();
-                const auto found = co_await second.ledger.load(nobody, program, wanted,
+                const auto found = co_await second.ledger.load(noAccount, program, wanted,
                                                                later(milliseconds(1500)));
                 REQUIRE_FALSE(found);
                 CHECK(toName(found.error()) == "turn_unreadable");
                 CHECK(runtime_clock::now() - began < milliseconds(400));
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("an entry of the index whose turn is gone is no turn")
         {
-            // The daemon that added a program's last turn removes all its rows, and the entries of
-            // the turns that it added itself. Those of others' turns stay.
+            // The daemon that added a program's last turn removes all rows of the program, and the
+            // index rows of its own turns. The index rows of other daemons' turns stay.
             second.access.staleRows = nullptr;
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 co_await w.runUsual(second.ledger, "t2", a);
                 runtime_clock::advance(seconds(75));
@@ -277,11 +277,11 @@
                 ledger_host fresh(rows);
                 const turn_id wanted{"t1"};
                 const auto found
-                    = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 REQUIRE_FALSE(found);
                 CHECK(found.error() == turn_refusal::NoSuchTurn);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -292,21 +292,21 @@
 
         SUBCASE("what one daemon holds, the other can't spend")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const auto a = co_await reserveFor(first.ledger, "t1", 100, 60);
                 CHECK(a);
                 const auto b = co_await reserveFor(second.ledger, "t2", 100, 60);
                 REQUIRE_FALSE(b);
                 CHECK(b.error() == turn_refusal::BudgetSpent);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a refusal is never based on an old copy of the account")
         {
-            // A translator's page was refused as over budget although another daemon had settled
-            // its turn at a tenth of what it held. The daemon still believed the hold it had read.
-            auto story = [&]() -> awaitable<void> {
+            // Guards against a refusal based on a stale hold: another daemon had settled its turn
+            // at a tenth of the held tokens, but this daemon still used the hold that it had read.
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await first.ledger.reserve(one, later(seconds(1)));
                 const auto early = co_await reserveFor(second.ledger, "t2", 100, 60);
@@ -316,14 +316,14 @@
                 const auto b = co_await reserveFor(second.ledger, "t3", 100, 60);
                 CHECK(b);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("tokens that are spent never come back, so the refusal needs no store")
         {
-            // A program that loops asked for one more turn again and again after its budget was
-            // spent. Each refusal read the account, and in an outage it got "come back" instead.
-            auto story = [&]() -> awaitable<void> {
+            // Guards against a store read for each request of a looping program after its budget is
+            // spent, and against answering such a request with "retry later" in an outage.
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await runTurn(first.ledger, one, nullptr, 50);
                 const int before = first.access.calls;
@@ -333,14 +333,14 @@
                 CHECK(b.error() == turn_refusal::BudgetSpent);
                 CHECK(first.access.calls == before);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("an account that can't be read is neither a fresh budget nor a refusal for good")
         {
-            // A maintenance script had damaged an account's row. The daemon asked the store for the
-            // same row over and over until the client's time was over.
-            auto story = [&]() -> awaitable<void> {
+            // Guards against a daemon that reads a corrupt account row again and again until the
+            // client's deadline. A maintenance script had damaged the row.
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 100, 60);
                 store_transaction t;
                 t.writes.push_back({turn_rows::account(program), R"({"spent":)"});
@@ -353,12 +353,12 @@
                 }
                 CHECK(second.access.calls - before <= 2);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a daemon dies in the middle: what it held stays held")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 {
                     ledger_host dying(rows);
                     co_await reserveFor(dying.ledger, "t1", 100, 60);
@@ -366,14 +366,15 @@
                 const auto b = co_await reserveFor(second.ledger, "t2", 100, 60);
                 CHECK_FALSE(b);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
-    // Helpers of one program asked for their turns at the same time, on different daemons. The end
-    // of each depended on the account as its daemon had seen it when the turn began, so it failed
-    // for every turn that began or ended meanwhile and was written again: a third of the store's
-    // calls on a calm second, and a client that had read its whole answer waited for its end.
+    // Guards against commits that conflict if sub-agents of one program run turns in parallel on
+    // different daemons. When a commit was conditional on the account as read at the start of the
+    // turn, each turn that began or ended in the meantime made it fail and be written again. That
+    // was a third of the store's calls under low load, and clients waited for the end of responses
+    // that they had received completely.
     TEST_CASE("turns of one program that run in parallel don't hold up each other's ends")
     {
         ledger_pair w;
@@ -381,7 +382,7 @@
 
         SUBCASE("each end is one call, whatever other turns did to the account meanwhile")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 1000, 60);
                 co_await reserveFor(second.ledger, "t2", 1000, 60);
                 const turn_ptr one = makeTurn("t1", program, nullptr);
@@ -394,13 +395,13 @@
                 CHECK(b);
                 CHECK(first.access.calls + second.access.calls - before == 2);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("what they used is charged once, by whoever changes the account next")
         {
-            // 100 tokens: 5 and 7 are used, so one more turn of 60 fits and another does not.
-            auto story = [&]() -> awaitable<void> {
+            // Of 100 tokens, 5 and 7 are used, so one more turn of 60 fits and a second does not.
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 100, 40);
                 co_await reserveFor(second.ledger, "t2", 100, 40);
                 const turn_ptr one = makeTurn("t1", program, nullptr);
@@ -416,13 +417,14 @@
                 CHECK(over.error() == turn_refusal::BudgetSpent);
                 CHECK(first.ledger.accountView(program).committed == 72);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("the daemon whose turn began first and ended last removes the program's rows")
         {
-            // The other one's turn left the account's newest version, but not the newest turn.
-            auto story = [&]() -> awaitable<void> {
+            // The other daemon's turn wrote the newest version of the account, but this daemon
+            // added the newest turn.
+            auto scenario = [&]() -> awaitable<void> {
                 co_await reserveFor(first.ledger, "t1", 1000, 60);
                 co_await reserveFor(second.ledger, "t2", 1000, 60);
                 const turn_ptr one = makeTurn("t1", program, nullptr);
@@ -435,14 +437,14 @@
                 ledger_host fresh(rows);
                 const turn_id wanted{"t1"};
                 const auto found
-                    = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 CHECK(found);
                 runtime_clock::advance(seconds(20));
                 co_await first.ledger.removeExpiredRows();
-                // The other daemon's entry of the index stays.
+                // The index row of the other daemon's turn stays.
                 CHECK(rows.read(turn_rows::programRange(program)).rows.empty());
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -453,7 +455,7 @@
 
         SUBCASE("after the retention of the last turn")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 co_await first.ledger.removeExpiredRows();
                 CHECK(rows.size() == 3);
@@ -461,14 +463,15 @@
                 co_await first.ledger.removeExpiredRows();
                 CHECK(rows.size() == 0);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("but not while another daemon's turn of the same program is younger")
         {
-            // A lesson's sixth page was answered 404: the daemon that served the first page had
-            // removed the whole program a minute later, though another daemon had gone on with it.
-            auto story = [&]() -> awaitable<void> {
+            // Guards against a 404 for a program in use: the daemon that ran the first turn removed
+            // all rows a minute later, although another daemon had continued the program. It was
+            // seen at the sixth turn.
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
                 co_await w.runUsual(second.ledger, "t2", a);
@@ -477,31 +480,31 @@
                 ledger_host fresh(rows);
                 const turn_id wanted{"t2"};
                 const auto found
-                    = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                    = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                 CHECK(found);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
     TEST_CASE("a turn whose program's rows were removed brings its whole chain along")
     {
-        // A turn was answered whole, and the next one that went on from it was refused everywhere
-        // with "step":"chain" until its program failed. The daemon had taken the older turns for
-        // stored, since they were its program's own: their rows had been removed meanwhile.
+        // Guards against a committed turn whose chain is missing in the store, so that all daemons
+        // refuse the next turn ("step":"chain") and the program fails. The daemon had assumed that
+        // the older turns of the same program were stored, but their rows had been removed.
         ledger_pair w;
         auto &[rows, first, second, context, program] = w;
         const auto loadAfresh = [&](const char *id) -> awaitable<std::string> {
             ledger_host fresh(rows);
             const turn_id wanted{id};
             const auto found
-                = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
             co_return found ? buildPrompt(*found, "") : std::string(toName(found.error()));
         };
 
         SUBCASE("another program went on with it in between")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
                 const turn_claim other = claimFor("t2", {"p2"}, 1000, 50);
@@ -512,16 +515,17 @@
                 const std::string read = co_await loadAfresh("t3");
                 CHECK(read == "in-t1;out-t1\nin-t2;out-t2\nin-t3;out-t3\n");
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a daemon remembers the turn longer than the store has it")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 runtime_clock::advance(seconds(50));
                 const turn_id t1{"t1"};
-                const auto a = co_await second.ledger.load(nobody, program, t1, later(seconds(1)));
+                const auto a
+                    = co_await second.ledger.load(noAccount, program, t1, later(seconds(1)));
                 REQUIRE(a);
                 runtime_clock::advance(seconds(25));
                 co_await first.ledger.removeExpiredRows();
@@ -529,14 +533,14 @@
                 const std::string read = co_await loadAfresh("t2");
                 CHECK(read == "in-t1;out-t1\nin-t2;out-t2\n");
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a daemon that does not know the account takes no stored chain for a lost one")
         {
-            // Turns without a budget reserve nothing: their commit is the first that the daemon
-            // does with the account, and a long chain would be too large to be copied.
-            auto story = [&]() -> awaitable<void> {
+            // Turns without a budget are not reserved: their commit is the daemon's first access to
+            // the account, and copying a long chain would exceed the size of a transaction.
+            auto scenario = [&]() -> awaitable<void> {
                 auto big = std::make_shared<turn>(*makeTurn("t1", program, nullptr));
                 big->input.assign(500'000, 'x');
                 auto next = std::make_shared<turn>(*makeTurn("t2", program, big));
@@ -548,12 +552,12 @@
                     = co_await second.ledger.commit(next, 1, seconds(60), later(seconds(3)));
                 CHECK(two);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("turns that are still stored are not written again")
         {
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 const turn_ptr b = co_await w.runUsual(second.ledger, "t2", a);
                 const store_version before = rows.version();
@@ -564,7 +568,7 @@
                     CHECK(rows.read(range).rows.at(0).version <= before);
                 }
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -586,43 +590,43 @@
         SUBCASE("the reservation took effect and its answer was lost: it is not held twice")
         {
             plan = {store_fault::ResponseDropped};
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const turn_ptr t = co_await runTurn(host.ledger, one, nullptr, 20);
                 REQUIRE(t);
                 CHECK(host.ledger.accountView(program).committed == 20);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("the commit took effect and its answer was lost: it is not charged twice")
         {
             plan = {store_fault::None, store_fault::ResponseDropped};
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const turn_ptr t = co_await runTurn(host.ledger, one, nullptr, 20);
                 REQUIRE(t);
                 CHECK(host.ledger.accountView(program).committed == 20);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
 
         SUBCASE("a reservation that is given up can't take effect seconds later")
         {
-            // A turn was refused because the store did not answer. Two seconds later its
-            // reservation took effect, and tokens were held for a turn that never ran.
-            plan = {store_fault::Late, store_fault::Refused, store_fault::Refused};
-            auto story = [&]() -> awaitable<void> {
+            // Guards against tokens held for a turn that never runs: the turn was refused because
+            // the store did not respond, and its reservation took effect two seconds later.
+            plan = {store_fault::DelayedWrite, store_fault::Refused, store_fault::Refused};
+            auto scenario = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const auto held = co_await host.ledger.reserve(one, later(milliseconds(340)));
                 CHECK_FALSE(held);
                 co_await host.ledger.settleHold(one, 0);
-                host.access.settleLate();
+                host.access.applyDelayedWrites();
                 ledger_host other(rows);
                 const auto b = co_await reserveFor(other.ledger, "t2", 100, 60);
                 CHECK(b);
             };
-            runPaused(context, story());
+            runPaused(context, scenario());
         }
     }
 
@@ -633,7 +637,7 @@
             asio::io_context context;
             const program_id program{"p1"};
             constexpr std::int64_t budget = 300;
-            constexpr std::int64_t most = 50;
+            constexpr std::int64_t maxOutputTokens = 50;
             std::deque<ledger_host> hosts;
             for (int i = 0; i < 3; ++i)
                 hosts.emplace_back(rows);
@@ -645,25 +649,25 @@
                     return n < 6 ? static_cast<store_fault>(n) : store_fault::None;
                 };
             }
-            std::int64_t handed = 0;
+            std::int64_t deliveredTokens = 0;
             turn_ptr last;
-            auto story = [&]() -> awaitable<void> {
+            auto scenario = [&]() -> awaitable<void> {
                 for (int i = 0; i < 14; ++i) {
                     const std::string id = "t" + std::to_string(i);
                     ledger_host &host = hosts[std::size_t(faults[std::size_t(i)]) % hosts.size()];
                     if (last) {
                         const turn_id wanted = last->id;
-                        const auto found
-                            = co_await host.ledger.load(nobody, program, wanted, later(seconds(2)));
+                        const auto found = co_await host.ledger.load(noAccount, program, wanted,
+                                                                     later(seconds(2)));
                         RC_ASSERT(found || found.error() == turn_refusal::StoreUnavailable);
                     }
-                    const turn_claim claim = claimFor(id, program, budget, most);
+                    const turn_claim claim = claimFor(id, program, budget, maxOutputTokens);
                     const auto held = co_await host.ledger.reserve(claim, later(seconds(1)));
                     if (!held)
                         continue;
                     const std::int64_t used = 26 + faults[std::size_t(i) + 10] * 2;
-                    handed += used;
-                    // Some daemons die here: nobody settles what they held.
+                    deliveredTokens += used;
+                    // Some daemons fail here, and their holds are never settled.
                     if (faults[std::size_t(i) + 20] % 6 == 0)
                         continue;
                     const turn_ptr t = makeTurn(id, program, last);
@@ -672,18 +676,18 @@
                     if (done)
                         last = t;
                     for (ledger_host &h : hosts)
-                        h.access.settleLate();
+                        h.access.applyDelayedWrites();
                 }
             };
-            runPaused(context, story());
-            RC_ASSERT(handed <= budget + most);
+            runPaused(context, scenario());
+            RC_ASSERT(deliveredTokens <= budget + maxOutputTokens);
             if (last) {
                 ledger_host fresh(rows);
                 turn_ptr found;
                 auto look = [&]() -> awaitable<void> {
                     const turn_id wanted = last->id;
                     const auto result
-                        = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
+                        = co_await fresh.ledger.load(noAccount, program, wanted, later(seconds(1)));
                     RC_ASSERT(bool(result));
                     found = *result;
                 };
--- a/test/logic/capacity_growth_test.cpp
+++ b/test/logic/capacity_growth_test.cpp
@@ -176,7 +176,7 @@
                 book.apply(makeFinished(id, turn));
             }
             std::size_t held = book.find(id)->history.size();
-            for (const auto &[turn, call] : book.find(id)->closed)
+            for (const auto &[turn, call] : book.find(id)->closedCalls)
                 held += call.reply.size() + call.key.size();
             bytes.push_back({static_cast<double>(turns), static_cast<double>(held)});
         }
@@ -188,7 +188,7 @@
         for (int i = 0; i < 1000; ++i)
             book.apply(makeCreated(numberedProgram(i)));
         for (int i = 0; i < 1000; ++i)
-            book.forget(numberedProgram(i));
+            book.erase(numberedProgram(i));
         CHECK(book.programs().empty());
     }
     SUBCASE("a quiet daemon sends as much in a large cell as in a small one")
