--- a/src/members/word_sample.cpp
+++ b/src/members/gossip_reports.cpp
@@ -1,4 +1,4 @@
-#include "members/word_sample.h"
+#include "members/gossip_reports.h"
 
 namespace azurehill {
 
@@ -10,18 +10,18 @@
 
 } // namespace
 
-void word_sample::onHeard(const daemon_id &member, concurrency_reports words,
-                          replica_reports replicas, time_point now)
+void gossip_reports::onHeard(const daemon_id &member, concurrency_reports words,
+                             replica_reports replicas, time_point now)
 {
     m_heard[member] = {std::move(words), std::move(replicas), now};
 }
 
-void word_sample::expire(time_point now)
+void gossip_reports::expire(time_point now)
 {
     std::erase_if(m_heard, [now](const auto &item) { return now - item.second.at > mostAge; });
 }
 
-std::vector<concurrency_reports> word_sample::heard() const
+std::vector<concurrency_reports> gossip_reports::heard() const
 {
     std::vector<concurrency_reports> all;
     all.reserve(m_heard.size());
@@ -30,7 +30,7 @@
     return all;
 }
 
-std::vector<replica_reports> word_sample::heardOfReplicas() const
+std::vector<replica_reports> gossip_reports::replicaReports() const
 {
     std::vector<replica_reports> all;
     for (const auto &[member, heard] : m_heard) {
--- a/src/members/probe_message.h
+++ b/src/members/probe_message.h
@@ -33,7 +33,7 @@
     std::int64_t incarnation = 0;
     std::uint64_t version = 0;
     /// Whether the sender does not know the receiver's last word of itself, and wants to hear it.
-    bool asksWho = false;
+    bool requestsState = false;
     /// Whom to ping; for IndirectPing only.
     std::optional<endpoint> target;
     /// What the sender wants of the engines, and what it holds to be right there.
