--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -113,12 +113,12 @@
 
 void entry_control::setPlaceWords(place_words words)
 {
-    m_membership.setWords(std::move(words));
+    m_membership.setDemandReports(std::move(words));
 }
 
 void entry_control::setReplicaWords(replica_words words)
 {
-    m_membership.setReplicaWords(std::move(words));
+    m_membership.setReplicaReports(std::move(words));
 }
 
 entry_gauges entry_control::gauges() const
@@ -288,7 +288,7 @@
     if (!states || states->size() != 1 || states->front().name.value != row.name.key)
         m_unreadable.tell(log_event::RowUnreadable, row, "not a member's state");
     else
-        m_membership.onListed(states->front(), runtime_clock::now());
+        m_membership.onStoredMember(states->front(), runtime_clock::now());
 }
 
 awaitable<bool> entry_control::readMembers()
@@ -347,20 +347,21 @@
 {
     // After a start the store names daemons that were not heard of yet.
     const member_list &members = m_membership.members();
-    m_replicas.setDaemons(1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.known()));
+    m_replicas.setDaemons(
+        1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.knownCount()));
 }
 
 void entry_control::tellReplicas()
 {
     if (const auto digest = m_replicas.digest())
-        m_membership.setReplicas(*digest, runtime_clock::now());
+        m_membership.setReplicaDigest(*digest, runtime_clock::now());
 }
 
 void entry_control::onGossip(const probe_message &message, const endpoint &from)
 {
     tellReplicas();
     send(m_membership.onMessage(message, from, runtime_clock::now()));
-    for (const digest_news &news : m_membership.takeDigests())
+    for (const peer_digest &news : m_membership.takeDigests())
         m_replicas.onDigest(news);
     logMembers();
 }
@@ -424,8 +425,8 @@
 
 void entry_control::publishPlaceWords() const
 {
-    m_events.onPlaceWords(m_membership.wordsHeard());
-    std::vector<replica_words> heard = m_membership.replicaWordsHeard();
+    m_events.onPlaceWords(m_membership.demandReportsHeard());
+    std::vector<replica_words> heard = m_membership.replicaReportsHeard();
     if (!heard.empty() && m_events.onReplicaWords)
         m_events.onReplicaWords(std::move(heard));
 }
@@ -441,9 +442,9 @@
         logMembers();
         // Before the store has named any member, the seeds are the only way to the others. They
         // name other hosts' inner addresses; all hosts use the same ports.
-        if (m_membership.members().known() == 0) {
+        if (m_membership.members().knownCount() == 0) {
             for (const endpoint &seed : m_settings.seeds) {
-                const probe_message message = m_membership.introduction();
+                const probe_message message = m_membership.joinMessage();
                 m_gossip.send({seed.host, m_settings.gossip.port}, encodeProbe(message));
             }
         }
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -236,7 +236,7 @@
         co_await serveRouted(call, request, writer);
         m_places.leave(*call);
         if (call->credit && !call->mayHaveRun)
-            m_credits.giveBack(call->accountName(), *call->credit);
+            m_credits.returnCredit(call->accountName(), *call->credit);
     }
     noteAnswered(*call);
 }
--- a/src/entry/replica_follower.cpp
+++ b/src/entry/replica_follower.cpp
@@ -161,7 +161,7 @@
     }
 }
 
-void replica_follower::onDigest(const digest_news &news)
+void replica_follower::onDigest(const peer_digest &news)
 {
     const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
     if (!isBehind || m_isTakingChanges)
@@ -170,7 +170,7 @@
     spawn(m_executor, "takeReplicaChanges", takeChanges(news));
 }
 
-awaitable<void> replica_follower::takeChanges(digest_news news)
+awaitable<void> replica_follower::takeChanges(peer_digest news)
 {
     const time_point began = runtime_clock::now();
     const bool isWhole = m_table.version() == 0;
--- a/src/entry/replica_follower.h
+++ b/src/entry/replica_follower.h
@@ -38,7 +38,7 @@
     void setDaemons(std::size_t count) { m_turns.daemons = std::max<std::size_t>(1, count); }
 
     /// \brief Another daemon told of its copy. A newer one is asked for in the background.
-    void onDigest(const digest_news &news);
+    void onDigest(const peer_digest &news);
     /// \returns the digest to tell, or nothing before the first rows came.
     std::optional<table_digest> digest() const { return m_table.digest(runtime_clock::now()); }
     /// \returns whether \p request asks for changes of the entries.
@@ -60,7 +60,7 @@
     awaitable<bool> readChanges();
     /// \brief Reads one row, to learn whether the store answers this daemon.
     awaitable<void> touchStore();
-    awaitable<void> takeChanges(digest_news news);
+    awaitable<void> takeChanges(peer_digest news);
     void adopt(std::string_view source);
     /// \brief Takes in the row of \p key as it is now. \returns whether its entry is another one.
     bool adoptRow(const std::string &key);
--- a/src/lending/credit_exchange.cpp
+++ b/src/lending/credit_exchange.cpp
@@ -12,11 +12,11 @@
 
 /// An answer that has not come after this long was lost, or its sender writes a row, or has more
 /// to answer than it can: so the pause is doubled with each ask of a request.
-constexpr duration askPause = milliseconds(60);
+constexpr duration initialRetryInterval = milliseconds(60);
 /// Holders that a request is sent on to without a pause.
-constexpr int mostRedirects = 2;
+constexpr int maxRedirects = 2;
 /// Longest wait for a credit. Holders change within less.
-constexpr duration mostWait = seconds(1);
+constexpr duration maxBorrowTime = seconds(1);
 
 } // namespace
 
@@ -24,7 +24,7 @@
                                  const quota_bound &bound)
     : m_executor(executor), m_lender(executor, rows, m_view, bound),
       m_socket(executor, "credits",
-               [this](std::string_view text, const endpoint &from) { onText(text, from); })
+               [this](std::string_view text, const endpoint &from) { onDatagram(text, from); })
 { }
 
 std::uint16_t credit_exchange::start(const endpoint &address)
@@ -38,7 +38,7 @@
     m_view.set(std::move(self), std::move(others));
 }
 
-void credit_exchange::onText(std::string_view text, const endpoint &from)
+void credit_exchange::onDatagram(std::string_view text, const endpoint &from)
 {
     const auto message = decodeQuotaMessage(text);
     if (!message) {
@@ -77,7 +77,7 @@
     if (found == m_pending.end() || found->second->result)
         return;
     found->second->result = std::move(result);
-    found->second->alarm.cancel();
+    found->second->wakeUpTimer.cancel();
 }
 
 void credit_exchange::onNotHolder(const not_holder &message)
@@ -86,11 +86,11 @@
     if (found == m_pending.end())
         return;
     const std::size_t shard = shardOf(found->second->account);
-    const bool isNews = !message.holder.empty() && m_holders[shard] != message.holder;
+    const bool isNewHolder = !message.holder.empty() && m_holders[shard] != message.holder;
     m_holders[shard] = message.holder;
     // Two daemons that name each other must not be asked in circles.
-    if (isNews && ++found->second->redirects <= mostRedirects)
-        found->second->alarm.cancel();
+    if (isNewHolder && ++found->second->redirects <= maxRedirects)
+        found->second->wakeUpTimer.cancel();
 }
 
 daemon_id credit_exchange::lenderOf(std::size_t shard) const
@@ -101,7 +101,7 @@
     return isKnown ? known->second : m_view.preferred(shard);
 }
 
-void credit_exchange::ask(const credit_request &request)
+void credit_exchange::sendRequest(const credit_request &request)
 {
     const daemon_id lender = lenderOf(shardOf(request.account));
     if (lender.empty())
@@ -116,7 +116,8 @@
 }
 
 awaitable<std::optional<borrow_result>> credit_exchange::borrowOnce(account_id account,
-                                                                    credit_use use, duration &pause,
+                                                                    credit_use use,
+                                                                    duration &retryInterval,
                                                                     time_point deadline)
 {
     const member_state &self = m_view.self();
@@ -128,40 +129,40 @@
     // A credit that comes later than this must not be used.
     const time_point until = std::min(deadline, runtime_clock::now() + credit_ledger::loanTime);
     while (!pending->result && runtime_clock::now() < until) {
-        pending->alarm.expires_at(std::min(until, runtime_clock::now() + pause));
-        pause *= 2;
-        ask(request);
+        pending->wakeUpTimer.expires_at(std::min(until, runtime_clock::now() + retryInterval));
+        retryInterval *= 2;
+        sendRequest(request);
         if (pending->result)
             break;
         boost::system::error_code code;
-        co_await pending->alarm.async_wait(asio::redirect_error(use_awaitable, code));
+        co_await pending->wakeUpTimer.async_wait(asio::redirect_error(use_awaitable, code));
     }
     m_pending.erase(number);
     const bool isLate = runtime_clock::now() > until;
     if (isLate && pending->result && std::holds_alternative<credit_id>(*pending->result))
         pending->result.reset();
     if (!pending->result)
-        giveBack(account, request.id);
+        returnCredit(account, request.id);
     co_return pending->result;
 }
 
 awaitable<borrow_result> credit_exchange::borrow(account_id account, credit_use use,
                                                  time_point deadline)
 {
-    const time_point until = std::min(deadline, runtime_clock::now() + mostWait);
-    duration pause = askPause;
+    const time_point until = std::min(deadline, runtime_clock::now() + maxBorrowTime);
+    duration retryInterval = initialRetryInterval;
     while (runtime_clock::now() < until) {
         account_id copy = account;
-        auto result = co_await borrowOnce(std::move(copy), use, pause, until);
+        auto result = co_await borrowOnce(std::move(copy), use, retryInterval, until);
         if (result)
             co_return *result;
         // What was said of the holder led nowhere.
         m_holders.erase(shardOf(account));
     }
-    co_return lender_silent();
+    co_return lender_unreachable();
 }
 
-void credit_exchange::giveBack(const account_id &account, const credit_id &id)
+void credit_exchange::returnCredit(const account_id &account, const credit_id &id)
 {
     const credit_return message{id, account};
     const daemon_id lender = lenderOf(shardOf(account));
--- a/src/lending/credit_exchange.h
+++ b/src/lending/credit_exchange.h
@@ -16,11 +16,11 @@
 };
 
 /// \brief No daemon that may lend answered in time.
-struct lender_silent
+struct lender_unreachable
 { };
 
 /// \brief What became of a wish for a credit.
-using borrow_result = std::variant<credit_id, quota_used_up, lender_silent>;
+using borrow_result = std::variant<credit_id, quota_used_up, lender_unreachable>;
 
 /// \brief Borrows credits for requests that are served here, and lends those whose row this daemon
 /// holds. Used on the traffic thread.
@@ -39,7 +39,7 @@
     /// \brief Borrows one credit of \p account, by \p deadline at the latest.
     awaitable<borrow_result> borrow(account_id account, credit_use use, time_point deadline);
     /// \brief The request for which \p id was lent did not run and never will.
-    void giveBack(const account_id &account, const credit_id &id);
+    void returnCredit(const account_id &account, const credit_id &id);
     /// \brief Gives up lending, by \p latest at the latest.
     awaitable<void> release(time_point latest) { return m_lender.release(latest); }
 
@@ -47,8 +47,8 @@
     /// \brief A request that waits for a credit.
     struct pending_loan
     {
-        explicit pending_loan(const asio::any_io_executor &executor) : alarm(executor) { }
-        timer alarm;
+        explicit pending_loan(const asio::any_io_executor &executor) : wakeUpTimer(executor) { }
+        timer wakeUpTimer;
         account_id account;
         std::optional<borrow_result> result;
         /// How often the request was sent on to another daemon at once.
@@ -56,14 +56,14 @@
     };
     using pending_ptr = std::shared_ptr<pending_loan>;
 
-    void onText(std::string_view text, const endpoint &from);
+    void onDatagram(std::string_view text, const endpoint &from);
     void onRequest(const credit_request &request, const endpoint &from);
     /// \brief Takes in what a lender said.
     void onAnswer(const quota_message &message);
     void finish(std::uint64_t number, borrow_result result);
     void onNotHolder(const not_holder &message);
     /// \brief Asks whoever should hold the account's row.
-    void ask(const credit_request &request);
+    void sendRequest(const credit_request &request);
     /// \returns the daemon to ask for credits of \p shard.
     daemon_id lenderOf(std::size_t shard) const;
     /// \param pause until the request is asked again; grows with each ask.
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -12,17 +12,17 @@
 
 /// Rows that are held are written anew this often: an outage of the store then finds the most of
 /// their validity left.
-constexpr duration renewPause = milliseconds(2500);
-constexpr duration lookPause = milliseconds(250);
+constexpr duration renewInterval = milliseconds(2500);
+constexpr duration maintenanceInterval = milliseconds(250);
 /// Pause between two tries of one row, and of one that another daemon holds as far as is known.
-constexpr duration tryPause = milliseconds(40);
-constexpr duration lookAgainPause = milliseconds(500);
+constexpr duration retryInterval = milliseconds(40);
+constexpr duration foreignRowRetryInterval = milliseconds(500);
 /// A row is handed on to the daemon that should hold it after this long: members that come and go
 /// would otherwise move it about.
-constexpr duration handOnAfter = seconds(2);
-constexpr duration writeTime = milliseconds(700);
+constexpr duration handOverDelay = seconds(2);
+constexpr duration rowWriteTimeout = milliseconds(700);
 /// Answers that show another state of the row than expected, after which a write is left.
-constexpr int mostTries = 4;
+constexpr int maxAttempts = 4;
 
 } // namespace
 
@@ -34,16 +34,16 @@
 void credit_lender::setRoutes(route_book_ptr routes)
 {
     m_routes = std::move(routes);
-    m_used.fill(false);
+    m_hasQuotas.fill(false);
     for (const auto &[name, rule] : m_routes->accounts().rules()) {
         if (rule.quota)
-            m_used.at(shardOf(name)) = true;
+            m_hasQuotas.at(shardOf(name)) = true;
     }
 }
 
-bool credit_lender::isUsed(std::size_t shard) const
+bool credit_lender::hasQuotas(std::size_t shard) const
 {
-    return m_used.at(shard);
+    return m_hasQuotas.at(shard);
 }
 
 credit_lender::shard_state &credit_lender::stateOf(std::size_t shard)
@@ -72,7 +72,7 @@
     if (!state.book.mayLend(now)) {
         const daemon_id preferred = m_view.preferred(shard);
         if (preferred == m_view.self().name)
-            secure(shard);
+            acquireOrRenew(shard);
         const daemon_id holder = holderOf(state);
         if (!holder.empty() && holder != m_view.self().name)
             return not_holder{number, holder};
@@ -80,8 +80,9 @@
             return not_holder{number, preferred};
         return std::nullopt;
     }
-    const int most = mostCredits(*rule->quota, m_bound);
-    const lend_result result = state.book.lend(request.account, request.id, request.use, most, now);
+    const int quotaLimit = mostCredits(*rule->quota, m_bound);
+    const lend_result result
+        = state.book.lend(request.account, request.id, request.use, quotaLimit, now);
     switch (result.verdict) {
     case lend_verdict::Lent:
         return credit_lent{number};
@@ -90,7 +91,7 @@
     case lend_verdict::LevelTooLow:
         break;
     }
-    secure(shard);
+    acquireOrRenew(shard);
     return std::nullopt;
 }
 
@@ -104,53 +105,55 @@
 awaitable<void> credit_lender::maintain()
 {
     while (true) {
-        co_await sleepFor(lookPause);
+        co_await sleepFor(maintenanceInterval);
         const time_point now = runtime_clock::now();
         const bool isReady = m_routes && !m_view.self().name.empty() && !m_isReleased;
         for (std::size_t shard = 0; isReady && shard < quotaShards; ++shard) {
-            if (isUsed(shard))
-                tend(shard, now);
+            if (hasQuotas(shard))
+                maintainShard(shard, now);
         }
     }
 }
 
-void credit_lender::tend(std::size_t shard, time_point now)
+void credit_lender::maintainShard(std::size_t shard, time_point now)
 {
     shard_state &state = stateOf(shard);
-    const bool isWanted = m_view.preferred(shard) == m_view.self().name;
+    const bool isPreferred = m_view.preferred(shard) == m_view.self().name;
     if (!state.book.isHeld()) {
-        if (isWanted)
-            secure(shard);
+        if (isPreferred)
+            acquireOrRenew(shard);
         return;
     }
-    if (isWanted)
-        state.unwantedSince.reset();
-    else if (!state.unwantedSince)
-        state.unwantedSince = now;
-    if (state.unwantedSince && now >= *state.unwantedSince + handOnAfter && !state.isWriting) {
+    if (isPreferred)
+        state.notPreferredSince.reset();
+    else if (!state.notPreferredSince)
+        state.notPreferredSince = now;
+    if (state.notPreferredSince && now >= *state.notPreferredSince + handOverDelay
+        && !state.isWriting) {
         state.isWriting = true;
-        spawn(m_executor, "handOnQuotaRow", handOn(shard, now + writeTime));
-    } else if (now >= state.writtenAt + renewPause) {
-        secure(shard);
+        spawn(m_executor, "handOnQuotaRow", handOver(shard, now + rowWriteTimeout));
+    } else if (now >= state.writtenAt + renewInterval) {
+        acquireOrRenew(shard);
     }
 }
 
 daemon_id credit_lender::holderOf(const shard_state &state) const
 {
-    const bool isHeld = state.others && m_view.stateOf(*state.others) == holder_state::Lives;
-    return isHeld ? state.others->holder : daemon_id();
+    const bool isHeld
+        = state.foreignRow && m_view.stateOf(*state.foreignRow) == holder_state::Lives;
+    return isHeld ? state.foreignRow->holder : daemon_id();
 }
 
-void credit_lender::secure(std::size_t shard)
+void credit_lender::acquireOrRenew(std::size_t shard)
 {
     shard_state &state = stateOf(shard);
     const time_point now = runtime_clock::now();
-    const duration pause = holderOf(state).empty() ? tryPause : lookAgainPause;
+    const duration minInterval = holderOf(state).empty() ? retryInterval : foreignRowRetryInterval;
     const bool isKnown = m_routes && !m_view.self().name.empty();
-    if (!isKnown || state.isWriting || now < state.triedAt + pause || m_isReleased)
+    if (!isKnown || state.isWriting || now < state.lastAttemptAt + minInterval || m_isReleased)
         return;
     state.isWriting = true;
-    state.triedAt = now;
+    state.lastAttemptAt = now;
     spawn(m_executor, "writeQuotaRow", write(shard));
 }
 
@@ -159,7 +162,7 @@
     shard_state &state = stateOf(shard);
     const row_name name = quotaRowName(shard);
     bool again = true;
-    for (int i = 0; again && i < mostTries && !m_isReleased; ++i) {
+    for (int i = 0; again && i < maxAttempts && !m_isReleased; ++i) {
         const time_point sentAt = runtime_clock::now();
         const bool wasHeld = state.book.isHeld();
         const quota_row row = state.book.prepare(m_routes->accounts(), sentAt);
@@ -168,13 +171,13 @@
         t.urgency = write_urgency::End;
         t.conditions.push_back({name, state.version});
         t.writes.push_back({name, encodeQuotaRow(row)});
-        const auto version = co_await m_store.transact(std::move(t), sentAt + writeTime);
+        const auto version = co_await m_store.transact(std::move(t), sentAt + rowWriteTimeout);
         if (!version) {
             again = onFailed(shard, state, version.error());
             continue;
         }
         state.version = *version;
-        state.others.reset();
+        state.foreignRow.reset();
         state.writtenAt = sentAt;
         state.book.onWritten(row, sentAt);
         again = false;
@@ -212,30 +215,30 @@
         state.version = found.version;
         return true;
     }
-    const holder_state fate = m_view.stateOf(*row);
-    const bool isLeft
-        = fate == holder_state::Ended || (fate == holder_state::Silent && m_view.isSettled(now));
-    if (!isLeft) {
+    const holder_state holderState = m_view.stateOf(*row);
+    const bool isAbandoned = holderState == holder_state::Ended
+        || (holderState == holder_state::Silent && m_view.isSettled(now));
+    if (!isAbandoned) {
         if (state.book.isHeld())
             logDecision(log_event::QuotaLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
         state.book.onLost();
         // Not the row's version: the next try has to find it changed, and judge it again.
         state.version = 0;
-        state.others = *row;
+        state.foreignRow = *row;
         return false;
     }
     logDecision(log_event::QuotaTaken,
                 {{"shard", std::int64_t(shard)},
                  {"holder", row->holder.value},
-                 {"state", std::string(toName(fate))},
+                 {"state", std::string(toName(holderState))},
                  {"row_version", std::int64_t(found.version)}});
-    state.book.takeOver(*row, fate, now);
+    state.book.takeOver(*row, holderState, now);
     state.version = found.version;
     return true;
 }
 
-awaitable<void> credit_lender::handOn(std::size_t shard, time_point until)
+awaitable<void> credit_lender::handOver(std::size_t shard, time_point until)
 {
     shard_state &state = stateOf(shard);
     const row_name name = quotaRowName(shard);
@@ -248,7 +251,7 @@
     const auto version = co_await m_store.transact(std::move(t), until);
     if (version)
         state.version = *version;
-    state.unwantedSince.reset();
+    state.notPreferredSince.reset();
     state.isWriting = false;
     logDecision(log_event::QuotaLost,
                 {{"shard", std::int64_t(shard)},
@@ -261,7 +264,7 @@
     m_isReleased = true;
     for (auto &[shard, state] : m_shards) {
         if (state.book.isHeld())
-            co_await handOn(shard, std::min(runtime_clock::now() + writeTime, latest));
+            co_await handOver(shard, std::min(runtime_clock::now() + rowWriteTimeout, latest));
     }
 }
 
--- a/src/members/answer_patience.h
+++ b/src/members/adaptive_timeout.h
@@ -9,22 +9,22 @@
 /// An answer that is lost never comes, so a short wait mends it soon; a store that has turned slow
 /// must not be asked twice for everything. The wait follows the times of answers that came, and
 /// doubles with each that did not.
-class answer_patience
+class adaptive_timeout
 {
 public:
     /// \brief An answer came after \p time.
-    void onAnswer(duration time);
+    void onResponse(duration time);
     /// \brief An answer was given up.
     void onTimeout();
     /// \returns how long to wait for the next one.
-    duration wait() const;
+    duration timeout() const;
 
 private:
     /// Smoothed time of answers and its smoothed deviation, in milliseconds.
-    double m_typical = 0;
-    double m_deviation = 0;
-    int m_answers = 0;
-    int m_timeouts = 0;
+    double m_meanMs = 0;
+    double m_deviationMs = 0;
+    int m_responseCount = 0;
+    int m_consecutiveTimeouts = 0;
 };
 
 } // namespace azurehill
--- /dev/null
+++ b/src/members/gossip_reports.cpp
@@ -0,0 +1,44 @@
+#include "members/gossip_reports.h"
+
+namespace azurehill {
+
+namespace {
+
+/// Words older than this say little of a demand that follows bursts of some seconds. In this time
+/// some 36 messages come, six a round, of as many daemons where there are many.
+constexpr duration maxReportAge = milliseconds(1200);
+
+} // namespace
+
+void gossip_reports::onReports(const daemon_id &member, place_words demand, replica_words replicas,
+                               time_point now)
+{
+    m_latest[member] = {std::move(demand), std::move(replicas), now};
+}
+
+void gossip_reports::expire(time_point now)
+{
+    std::erase_if(m_latest,
+                  [now](const auto &item) { return now - item.second.at > maxReportAge; });
+}
+
+std::vector<place_words> gossip_reports::demandReports() const
+{
+    std::vector<place_words> all;
+    all.reserve(m_latest.size());
+    for (const auto &[member, heard] : m_latest)
+        all.push_back(heard.demand);
+    return all;
+}
+
+std::vector<replica_words> gossip_reports::replicaReports() const
+{
+    std::vector<replica_words> all;
+    for (const auto &[member, heard] : m_latest) {
+        if (!heard.replicas.empty())
+            all.push_back(heard.replicas);
+    }
+    return all;
+}
+
+} // namespace azurehill
--- a/src/members/membership_protocol.cpp
+++ b/src/members/membership_protocol.cpp
@@ -9,30 +9,30 @@
 /// Members pinged in a round. With three, one in twenty rounds passes in which nobody pings a
 /// given member, whatever the number of daemons, and fifteen pings and as many answers a second
 /// stay under 6 KB.
-constexpr std::size_t probesInRound = 3;
+constexpr std::size_t probesPerRound = 3;
 /// The same for the first rounds after a start, when nothing is known of the others.
 constexpr std::size_t probesAtStart = 8;
 constexpr int startRounds = 10;
 /// Others that are asked to ping a member that did not answer: with one datagram in twenty lost,
 /// one suspicion in 10,000 unanswered pings is false.
-constexpr std::size_t indirectProbes = 3;
+constexpr std::size_t indirectProbeCount = 3;
 /// Rounds without an answer after which others are asked, and after which a member is suspected.
 /// A host that pauses for one round loses nothing.
 constexpr int roundsUntilIndirect = 1;
 constexpr int roundsUntilSuspect = 2;
 /// A suspected member is gone after this time. News is everywhere in three to four rounds, and its
 /// denial on the way back in as many; but its callers wait for the news of its death meanwhile.
-constexpr duration suspicionTime = milliseconds(600);
+constexpr duration suspicionTimeout = milliseconds(600);
 /// News in one message: 130 bytes each, so that a message is under 4 KB also while hundreds of
 /// daemons start at once, and some 100 bytes in a calm time.
-constexpr std::size_t updatesInMessage = 28;
+constexpr std::size_t maxUpdatesPerMessage = 28;
 /// Members that a daemon tells at once that it stops; these tell the others within two rounds.
-constexpr std::size_t toldOfLeave = 40;
+constexpr std::size_t leaveFanout = 40;
 /// A round that comes so late says that this daemon itself stood still.
-constexpr duration lateRound = 2 * membership_protocol::round;
+constexpr duration lateRoundThreshold = 2 * membership_protocol::round;
 /// Without a message for so long a daemon takes itself for the one that is cut off: six and more
 /// come in a round otherwise, three answers and the pings of others.
-constexpr duration deafTime = 2 * membership_protocol::round;
+constexpr duration isolationTimeout = 2 * membership_protocol::round;
 
 } // namespace
 
@@ -53,7 +53,7 @@
     m_updates.add(m_self.name);
 }
 
-void membership_protocol::setReplicas(const table_digest &digest, time_point now)
+void membership_protocol::setReplicaDigest(const table_digest &digest, time_point now)
 {
     m_replicas = digest;
     m_replicasAt = now;
@@ -68,10 +68,10 @@
     return digest;
 }
 
-void membership_protocol::onListed(const member_state &state, time_point now)
+void membership_protocol::onStoredMember(const member_state &state, time_point now)
 {
     if (state.name != m_self.name) {
-        m_members.onListed(state, now);
+        m_members.onStoredMember(state, now);
         return;
     }
     if (state.incarnation <= m_self.incarnation)
@@ -80,7 +80,8 @@
     m_updates.add(m_self.name);
 }
 
-probe_message membership_protocol::bareMessage(probe_kind kind, std::uint64_t sequence) const
+probe_message membership_protocol::messageWithoutUpdates(probe_kind kind,
+                                                         std::uint64_t sequence) const
 {
     probe_message m;
     m.kind = kind;
@@ -88,15 +89,15 @@
     m.sender = m_self.name;
     m.incarnation = m_self.incarnation;
     m.version = m_self.version;
-    m.words = m_words;
-    m.replicaWords = m_replicaWords;
+    m.demandReports = m_demandReports;
+    m.replicaReports = m_replicaReports;
     return m;
 }
 
 probe_message membership_protocol::message(probe_kind kind, std::uint64_t sequence)
 {
-    probe_message m = bareMessage(kind, sequence);
-    for (const daemon_id &name : m_updates.take(updatesInMessage)) {
+    probe_message m = messageWithoutUpdates(kind, sequence);
+    for (const daemon_id &name : m_updates.take(maxUpdatesPerMessage)) {
         if (name == m_self.name)
             m.updates.push_back({m_self, member_health::Alive});
         else if (const auto *known = m_members.find(name))
@@ -105,10 +106,10 @@
     return m;
 }
 
-probe_message membership_protocol::introduction()
+probe_message membership_protocol::joinMessage()
 {
     probe_message m = message(probe_kind::Ping, 0);
-    m.asksWho = true;
+    m.requestsState = true;
     return m;
 }
 
@@ -122,10 +123,10 @@
 
 std::vector<daemon_id> membership_protocol::nextTargets()
 {
-    const std::size_t wanted = m_rounds < startRounds ? probesAtStart : probesInRound;
+    const std::size_t targetCount = m_rounds < startRounds ? probesAtStart : probesPerRound;
     std::vector<daemon_id> next;
     bool isRefilled = false;
-    while (next.size() < wanted) {
+    while (next.size() < targetCount) {
         if (m_targets.empty()) {
             if (isRefilled)
                 break;
@@ -138,35 +139,35 @@
         const daemon_id name = m_targets.back();
         m_targets.pop_back();
         const auto *known = m_members.find(name);
-        const bool isNamed = std::find(next.begin(), next.end(), name) != next.end();
-        if (known && known->isHealthy() && !isNamed)
+        const bool isChosen = std::find(next.begin(), next.end(), name) != next.end();
+        if (known && known->isHealthy() && !isChosen)
             next.push_back(name);
     }
     return next;
 }
 
-void membership_protocol::deny(const member_state &said)
+void membership_protocol::refute(const member_state &refuted)
 {
-    if (said.incarnation != m_self.incarnation || said.version < m_self.version)
+    if (refuted.incarnation != m_self.incarnation || refuted.version < m_self.version)
         return;
-    m_self.version = said.version + 1;
+    m_self.version = refuted.version + 1;
     m_updates.add(m_self.name);
 }
 
-void membership_protocol::learn(const member_update &news, time_point now)
+void membership_protocol::mergeUpdate(const member_update &update, time_point now)
 {
-    if (news.state.name == m_self.name) {
-        if (news.health != member_health::Alive)
-            deny(news.state);
+    if (update.state.name == m_self.name) {
+        if (update.health != member_health::Alive)
+            refute(update.state);
         return;
     }
-    if (m_members.apply(news, now + suspicionTime))
-        m_updates.add(news.state.name);
+    if (m_members.apply(update, now + suspicionTimeout))
+        m_updates.add(update.state.name);
 }
 
-bool membership_protocol::isDeaf(time_point now) const
+bool membership_protocol::isIsolated(time_point now) const
 {
-    return now - m_heardAt > deafTime;
+    return now - m_heardAt > isolationTimeout;
 }
 
 void membership_protocol::suspect(const daemon_id &name, time_point now)
@@ -174,26 +175,26 @@
     const auto *known = m_members.find(name);
     if (!known || !known->isHealthy())
         return;
-    const member_update news{known->update.state, member_health::Suspect};
-    m_members.apply(news, now + suspicionTime);
+    const member_update update{known->update.state, member_health::Suspect};
+    m_members.apply(update, now + suspicionTimeout);
     // A daemon that can still send but hears nobody would accuse all others, by turns and without
-    // an end, and each would have to deny it to all: 30 KB a second at each of 300 daemons
+    // an end, and each would have to refute it to all: 30 KB a second at each of 300 daemons
     // (replay).
-    if (!isDeaf(now))
+    if (!isIsolated(now))
         m_updates.add(name);
 }
 
-void membership_protocol::askOthers(std::uint64_t sequence, const probe &p,
-                                    std::vector<probe_datagram> &out)
+void membership_protocol::requestIndirectProbes(std::uint64_t sequence, const probe &p,
+                                                std::vector<probe_datagram> &out)
 {
     const auto *known = m_members.find(p.target);
     if (!known)
         return;
     const endpoint target = known->update.state.gossip;
-    out.push_back({target, bareMessage(probe_kind::Ping, sequence)});
+    out.push_back({target, messageWithoutUpdates(probe_kind::Ping, sequence)});
     member_list::selection others = m_members.healthy();
     std::erase_if(others, [&](const member_state *m) { return m->name == p.target; });
-    for (const member_state *other : pick(std::move(others), indirectProbes)) {
+    for (const member_state *other : pick(std::move(others), indirectProbeCount)) {
         probe_message m = message(probe_kind::IndirectPing, sequence);
         m.target = target;
         out.push_back({other->gossip, std::move(m)});
@@ -210,7 +211,7 @@
         probe &p = it->second;
         ++p.rounds;
         if (p.rounds == roundsUntilIndirect)
-            askOthers(it->first, p, out);
+            requestIndirectProbes(it->first, p, out);
         if (p.rounds < roundsUntilSuspect) {
             ++it;
             continue;
@@ -230,28 +231,29 @@
     }
     // Silent ones may be back, or on the other side of a cut that is mended: one a round, and at a
     // start as many as there would be others. They get no news, which would be lost with them.
-    const std::size_t wanted = m_rounds < startRounds ? probesAtStart - targets.size() : 1;
-    for (const member_state *m : pick(m_members.silent(), wanted))
-        out.push_back({m->gossip, bareMessage(probe_kind::Ping, ++m_lastSequence)});
+    const std::size_t silentProbeCount
+        = m_rounds < startRounds ? probesAtStart - targets.size() : 1;
+    for (const member_state *m : pick(m_members.unhealthy(), silentProbeCount))
+        out.push_back({m->gossip, messageWithoutUpdates(probe_kind::Ping, ++m_lastSequence)});
 }
 
 std::vector<probe_datagram> membership_protocol::onRound(time_point now)
 {
     std::vector<probe_datagram> out;
-    const duration pause = m_lastRound ? now - *m_lastRound : round;
+    const duration sinceLastRound = m_lastRound ? now - *m_lastRound : round;
     m_lastRound = now;
     // A daemon that stood still finds all its pings unanswered, and its watch over suspected
     // members run out: that says nothing of the others.
-    if (pause > lateRound) {
+    if (sinceLastRound > lateRoundThreshold) {
         m_probes.clear();
-        m_members.extendSuspicions(pause);
+        m_members.extendSuspicions(sinceLastRound);
     }
     checkProbes(out, now);
     for (const daemon_id &name : m_members.expire(now)) {
-        if (!isDeaf(now))
+        if (!isIsolated(now))
             m_updates.add(name);
     }
-    m_sample.expire(now);
+    m_gossipReports.expire(now);
     probeNext(out, now);
     ++m_rounds;
     return out;
@@ -275,35 +277,35 @@
                                                            const endpoint &from, time_point now)
 {
     std::vector<probe_datagram> out;
-    for (const member_update &news : m.updates)
-        learn(news, now);
+    for (const member_update &update : m.updates)
+        mergeUpdate(update, now);
     if (m.sender == m_self.name)
         return out;
     m_heardAt = now;
-    const bool isKnown = m_members.onHeard(m.sender, m.incarnation, m.version);
-    m_sample.onHeard(m.sender, m.words, m.replicaWords, now);
+    const bool isKnown = m_members.onMessageFrom(m.sender, m.incarnation, m.version);
+    m_gossipReports.onReports(m.sender, m.demandReports, m.replicaReports, now);
     const auto *sender = m_members.find(m.sender);
-    const bool isDoubted = isKnown && !sender->isHealthy();
+    const bool isSuspected = isKnown && !sender->isHealthy();
     if (m.kind == probe_kind::IndirectPing && m.target) {
         m_relayed[++m_lastSequence] = {from, m.sequence};
-        out.push_back({*m.target, bareMessage(probe_kind::Ping, m_lastSequence)});
+        out.push_back({*m.target, messageWithoutUpdates(probe_kind::Ping, m_lastSequence)});
     }
     if (m.kind == probe_kind::Ack)
         onAck(m, out);
     // What was told unasked is answered only if it asks, and that answer asks nothing: two daemons
     // that doubt each other would otherwise send messages without an end.
-    const bool isUnasked = m.kind == probe_kind::Ack && m.sequence == 0;
-    const bool isNews = !isUnasked && (!isKnown || isDoubted);
-    if (m.kind != probe_kind::Ping && !m.asksWho && !isNews)
+    const bool isUnsolicited = m.kind == probe_kind::Ack && m.sequence == 0;
+    const bool needsAnswer = !isUnsolicited && (!isKnown || isSuspected);
+    if (m.kind != probe_kind::Ping && !m.requestsState && !needsAnswer)
         return out;
     probe_message answer = message(probe_kind::Ack, m.kind == probe_kind::Ping ? m.sequence : 0);
-    answer.asksWho = !isKnown && !isUnasked;
+    answer.requestsState = !isKnown && !isUnsolicited;
     if (m.kind == probe_kind::Ping)
         answer.replicas = replicasAt(now);
-    if (m.asksWho)
+    if (m.requestsState)
         answer.updates.push_back({m_self, member_health::Alive});
-    // What others hold of the sender reaches it, so that it can deny it.
-    if (isDoubted)
+    // What others hold of the sender reaches it, so that it can refute it.
+    if (isSuspected)
         answer.updates.push_back(sender->update);
     out.push_back({from, std::move(answer)});
     return out;
@@ -315,10 +317,10 @@
     ++m_self.version;
     m_updates.add(m_self.name);
     std::vector<probe_datagram> out;
-    for (const member_state *m : pick(m_members.healthy(), toldOfLeave)) {
-        probe_message told = message(probe_kind::Ack, 0);
-        told.updates.push_back({m_self, member_health::Alive});
-        out.push_back({m->gossip, std::move(told)});
+    for (const member_state *m : pick(m_members.healthy(), leaveFanout)) {
+        probe_message notice = message(probe_kind::Ack, 0);
+        notice.updates.push_back({m_self, member_health::Alive});
+        out.push_back({m->gossip, std::move(notice)});
     }
     return out;
 }
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -17,7 +17,7 @@
 /// Words on places are told in hundredths, as whole numbers.
 constexpr double hundredths = 100;
 /// Largest number in a word on places, in hundredths: far above what a daemon or a replica bears.
-constexpr std::int64_t mostInWord = 10'000'000;
+constexpr std::int64_t maxReportedHundredths = 10'000'000;
 
 /// Fields of an update, which is an array: thirty go in one message.
 enum update_field : std::size_t {
@@ -34,11 +34,12 @@
     UpdateFields
 };
 
-json::value encode(const place_word &word)
+json::value encode(const place_word &report)
 {
     json::array numbers;
-    for (const double number : {word.wanted, word.inside, word.inflation, word.perReplica})
-        numbers.push_back(std::min<std::int64_t>(mostInWord, std::llround(hundredths * number)));
+    for (const double number : {report.wanted, report.inside, report.inflation, report.perReplica})
+        numbers.push_back(
+            std::min<std::int64_t>(maxReportedHundredths, std::llround(hundredths * number)));
     return numbers;
 }
 
@@ -71,30 +72,30 @@
 double numberIn(const json::value &value)
 {
     const auto number = value.to_number<std::int64_t>();
-    if (number < 0 || number > mostInWord)
+    if (number < 0 || number > maxReportedHundredths)
         throw std::out_of_range("a word on places");
     return double(number) / hundredths;
 }
 
-place_words wordsIn(const json::object &o)
+place_words demandReportsIn(const json::object &o)
 {
-    place_words words;
+    place_words reports;
     for (const auto &[service, value] : o) {
         const place_word word{numberIn(value.at(0)), numberIn(value.at(1)), numberIn(value.at(2)),
                               numberIn(value.at(3))};
-        words.emplace(std::string(service), word);
+        reports.emplace(std::string(service), word);
     }
-    return words;
+    return reports;
 }
 
-replica_words replicaWordsIn(const json::object &o)
+replica_words replicaReportsIn(const json::object &o)
 {
     if (o.size() > mostReplicaWords)
         throw std::out_of_range("words on replicas");
-    replica_words words;
+    replica_words reports;
     for (const auto &[id, value] : o)
-        words.emplace(upstream_id{std::string(id)}, enumIn<replica_word>(value));
-    return words;
+        reports.emplace(upstream_id{std::string(id)}, enumIn<replica_word>(value));
+    return reports;
 }
 
 member_update updateIn(const json::value &value)
@@ -125,13 +126,13 @@
     m.sender = {std::string(o.at("n").as_string())};
     m.incarnation = o.at("i").to_number<std::int64_t>();
     m.version = o.at("v").to_number<std::uint64_t>();
-    m.asksWho = o.contains("a");
+    m.requestsState = o.contains("a");
     if (const json::value *target = o.if_contains("t"))
         m.target = addressIn(*target);
     if (const json::value *words = o.if_contains("w"))
-        m.words = wordsIn(words->as_object());
+        m.demandReports = demandReportsIn(words->as_object());
     if (const json::value *words = o.if_contains("f"))
-        m.replicaWords = replicaWordsIn(words->as_object());
+        m.replicaReports = replicaReportsIn(words->as_object());
     if (const json::value *replicas = o.if_contains("r"))
         m.replicas = digestIn(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
@@ -151,21 +152,21 @@
     o["n"] = message.sender.value;
     o["i"] = message.incarnation;
     o["v"] = message.version;
-    if (message.asksWho)
+    if (message.requestsState)
         o["a"] = 1;
     if (message.target)
         o["t"] = toText(*message.target);
-    if (!message.words.empty()) {
-        json::object words;
-        for (const auto &[service, word] : message.words)
-            words[service] = encode(word);
-        o["w"] = std::move(words);
+    if (!message.demandReports.empty()) {
+        json::object reports;
+        for (const auto &[service, word] : message.demandReports)
+            reports[service] = encode(word);
+        o["w"] = std::move(reports);
     }
-    if (!message.replicaWords.empty()) {
-        json::object words;
-        for (const auto &[id, word] : message.replicaWords)
-            words[id.value] = int(word);
-        o["f"] = std::move(words);
+    if (!message.replicaReports.empty()) {
+        json::object reports;
+        for (const auto &[id, word] : message.replicaReports)
+            reports[id.value] = int(word);
+        o["f"] = std::move(reports);
     }
     if (message.replicas)
         o["r"] = toJson(*message.replicas);
--- a/src/members/update_queue.h
+++ b/src/members/update_queue.h
@@ -25,11 +25,11 @@
 
 private:
     /// Times sent, then the newest first.
-    using place = std::tuple<int, std::int64_t, daemon_id>;
+    using queue_key = std::tuple<int, std::int64_t, daemon_id>;
 
-    std::set<place> m_order;
-    std::map<daemon_id, place> m_places;
-    std::int64_t m_added = 0;
+    std::set<queue_key> m_order;
+    std::map<daemon_id, queue_key> m_keys;
+    std::int64_t m_newestOrder = 0;
 };
 
 } // namespace azurehill
--- a/test/io/answer_patience_test.cpp
+++ b/test/io/adaptive_timeout_test.cpp
@@ -1,4 +1,4 @@
-#include "members/answer_patience.h"
+#include "members/adaptive_timeout.h"
 
 #include <doctest/doctest.h>
 
@@ -8,32 +8,32 @@
 {
     TEST_CASE("the wait for the store's answer follows the answers that come")
     {
-        answer_patience patience;
-        CHECK(patience.wait() == milliseconds(400));
+        adaptive_timeout patience;
+        CHECK(patience.timeout() == milliseconds(400));
         for (int i = 0; i < 50; ++i)
-            patience.onAnswer(milliseconds(8));
+            patience.onResponse(milliseconds(8));
 
         SUBCASE("a store that answers in milliseconds is not waited for long")
         {
             // The store lost a third of its answers. Each turn that met one stood still for 0.4 s
             // before the call was made again, longer than the engines needed for the whole answer.
-            CHECK(patience.wait() == milliseconds(120));
+            CHECK(patience.timeout() == milliseconds(120));
         }
         SUBCASE("a store that turns slow is not asked twice for everything")
         {
             for (int i = 0; i < 2; ++i)
                 patience.onTimeout();
-            CHECK(patience.wait() == milliseconds(480));
+            CHECK(patience.timeout() == milliseconds(480));
             for (int i = 0; i < 4; ++i)
-                patience.onAnswer(milliseconds(i % 2 == 0 ? 200 : 400));
-            CHECK(patience.wait() > milliseconds(400));
+                patience.onResponse(milliseconds(i % 2 == 0 ? 200 : 400));
+            CHECK(patience.timeout() > milliseconds(400));
         }
         SUBCASE("one answer that came ends the doubt")
         {
             patience.onTimeout();
-            CHECK(patience.wait() == milliseconds(240));
-            patience.onAnswer(milliseconds(8));
-            CHECK(patience.wait() == milliseconds(120));
+            CHECK(patience.timeout() == milliseconds(240));
+            patience.onResponse(milliseconds(8));
+            CHECK(patience.timeout() == milliseconds(120));
         }
     }
 }
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -24,7 +24,7 @@
                                         client_limits(), std::move(*book));
 }
 
-/// \brief A daemon as far as it borrows and lends.
+/// \brief A daemon as far as it canBorrow and lends.
 struct lending_host
 {
     lending_host(asio::io_context &context, row_store &rows, const std::string &name,
@@ -59,7 +59,7 @@
     lending_host &host(std::size_t i) { return *hosts[hosts.size() - 3 + i]; }
 
     /// \brief Tells host \p i of all hosts, the others with \p incarnation.
-    void tell(std::size_t i, std::int64_t incarnation)
+    void setMembersOf(std::size_t i, std::int64_t incarnation)
     {
         std::vector<member_state> others;
         for (std::size_t k = 0; k < 3; ++k) {
@@ -70,19 +70,19 @@
         }
         host(i).exchange.setMembers(host(i).self, std::move(others));
     }
-    void tellAll(std::int64_t incarnation)
+    void setAllMembers(std::int64_t incarnation)
     {
         for (std::size_t i = 0; i < 3; ++i)
-            tell(i, incarnation);
+            setMembersOf(i, incarnation);
     }
 
-    void pass(duration time)
+    void advance(duration time)
     {
         auto wait = [](duration d) -> awaitable<void> { co_await sleepFor(d); };
         runInSteps(context, wait(time), step);
     }
     /// \returns whether host \p i gets a credit.
-    bool borrows(std::size_t i)
+    bool canBorrow(std::size_t i)
     {
         bool isLent = false;
         auto go = [&]() -> awaitable<void> {
@@ -95,7 +95,7 @@
         runInSteps(context, go(), step);
         return isLent;
     }
-    bool allBorrow() { return borrows(0) && borrows(1) && borrows(2); }
+    bool allBorrow() { return canBorrow(0) && canBorrow(1) && canBorrow(2); }
     /// \returns the daemon that the store names as the one that lends.
     std::string holder()
     {
@@ -118,8 +118,8 @@
     TEST_CASE("any daemon gets credits from the one that holds the account's row")
     {
         lending_world w;
-        w.tellAll(1);
-        w.pass(seconds(1));
+        w.setAllMembers(1);
+        w.advance(seconds(1));
         CHECK(w.allBorrow());
         const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
         CHECK(w.holder() == wanted.value);
@@ -131,15 +131,15 @@
         const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
         const std::size_t other = wanted.value == "h0" ? 1 : 0;
         w.host(other).exchange.setMembers(w.host(other).self, {});
-        w.pass(seconds(1));
+        w.advance(seconds(1));
         REQUIRE(w.holder() == w.host(other).self.name.value);
-        w.tellAll(1);
-        w.pass(seconds(1));
+        w.setAllMembers(1);
+        w.advance(seconds(1));
         // The one that should hold it has looked by now, and must leave it to one that lives.
         CHECK(w.holder() == w.host(other).self.name.value);
         for (int i = 0; i < 10; ++i) {
             CHECK(w.allBorrow());
-            w.pass(milliseconds(500));
+            w.advance(milliseconds(500));
         }
         CHECK(w.holder() == wanted.value);
     }
@@ -151,32 +151,32 @@
         const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
         const std::size_t other = wanted.value == "h0" ? 1 : 0;
         w.host(other).exchange.setMembers(w.host(other).self, {});
-        w.pass(seconds(1));
+        w.advance(seconds(1));
         REQUIRE(w.holder() == w.host(other).self.name.value);
         w.startAll(2);
         // The first words of the others are those of their runs before.
-        w.tellAll(1);
-        w.pass(milliseconds(300));
-        w.tellAll(2);
-        w.pass(seconds(1));
+        w.setAllMembers(1);
+        w.advance(milliseconds(300));
+        w.setAllMembers(2);
+        w.advance(seconds(1));
         CHECK(w.allBorrow());
     }
 
     TEST_CASE("credits are lent on through an outage of the store")
     {
         lending_world w;
-        w.tellAll(1);
-        w.pass(seconds(1));
+        w.setAllMembers(1);
+        w.advance(seconds(1));
         CHECK(w.allBorrow());
         for (std::size_t i = 0; i < 3; ++i)
             w.host(i).access.nextFault = [] { return store_fault::Refused; };
-        w.pass(seconds(6));
+        w.advance(seconds(6));
         CHECK(w.allBorrow());
 
         SUBCASE("and not for ever, as another daemon may have taken the row")
         {
-            w.pass(seconds(6));
-            CHECK_FALSE(w.borrows(0));
+            w.advance(seconds(6));
+            CHECK_FALSE(w.canBorrow(0));
         }
     }
 
@@ -194,7 +194,7 @@
         lender.storeReachable = true;
         lender.gossip = endpoint{"127.0.0.1", std::uint16_t(silent.local_endpoint().port() - 1)};
         w.host(0).exchange.setMembers(w.host(0).self, {lender});
-        CHECK_FALSE(w.borrows(0));
+        CHECK_FALSE(w.canBorrow(0));
         int asked = 0;
         std::string text(4096, '\0');
         boost::system::error_code code;
@@ -210,8 +210,8 @@
     TEST_CASE("when the holder is gone another daemon lends")
     {
         lending_world w;
-        w.tellAll(1);
-        w.pass(seconds(4));
+        w.setAllMembers(1);
+        w.advance(seconds(4));
         REQUIRE(w.allBorrow());
         const std::string gone = w.holder();
         for (std::size_t i = 0; i < 3; ++i) {
@@ -222,10 +222,10 @@
             }
             w.host(i).exchange.setMembers(w.host(i).self, std::move(others));
         }
-        w.pass(seconds(1));
+        w.advance(seconds(1));
         for (std::size_t i = 0; i < 3; ++i) {
             if (w.host(i).self.name.value != gone)
-                CHECK(w.borrows(i));
+                CHECK(w.canBorrow(i));
         }
         CHECK(w.holder() != gone);
     }
--- a/test/io/replica_follower_test.cpp
+++ b/test/io/replica_follower_test.cpp
@@ -39,7 +39,7 @@
         co_await writer.write(std::move(response));
     }
 
-    digest_news news() const { return {address, *follower.digest(), runtime_clock::now()}; }
+    peer_digest news() const { return {address, *follower.digest(), runtime_clock::now()}; }
 
     model_store inner;
     replica_follower follower;
--- a/test/io/replica_news_replay_test.cpp
+++ b/test/io/replica_news_replay_test.cpp
@@ -10,13 +10,13 @@
 constexpr duration bound = seconds(4);
 /// Reads a second of all daemons that the store is asked for at most, whatever their number: about
 /// twice what sixteen readers make.
-constexpr double mostReads = 32;
+constexpr double maxReadsPerSecond = 32;
 
 membership_replay runningReplay(int size)
 {
-    membership_replay replay(size, membership_replay::start::Acquainted);
+    membership_replay replay(size, membership_replay::start::Joined);
     replay.followTable(bound);
-    replay.play(seconds(3));
+    replay.advance(seconds(3));
     return replay;
 }
 
@@ -33,10 +33,10 @@
             CAPTURE(size);
             membership_replay replay = runningReplay(size);
             replay.tableReads = 0;
-            replay.play(seconds(2));
-            CHECK(double(replay.tableReads) / 2 <= mostReads);
+            replay.advance(seconds(2));
+            CHECK(double(replay.tableReads) / 2 <= maxReadsPerSecond);
             replay.changeTable();
-            replay.play(bound);
+            replay.advance(bound);
             CHECK(replay.daemonsBehind() == 0);
             CHECK(replay.oldestCopy() <= bound);
         }
@@ -66,11 +66,11 @@
         }
         SUBCASE("one in ten datagrams is lost")
         {
-            replay.loseShare(0.1);
+            replay.setLossRate(0.1);
         }
         for (int change = 0; change < 3; ++change) {
             replay.changeTable();
-            replay.play(bound);
+            replay.advance(bound);
             CHECK(replay.daemonsBehind() == 0);
         }
     }
@@ -79,11 +79,11 @@
     {
         membership_replay replay = runningReplay(60);
         replay.stop(7);
-        replay.play(seconds(5));
+        replay.advance(seconds(5));
         replay.changeTable();
-        replay.play(bound);
-        replay.thaw(7);
-        replay.play(seconds(2));
+        replay.advance(bound);
+        replay.unfreeze(7);
+        replay.advance(seconds(2));
         CHECK(replay.daemonsBehind() == 0);
     }
 
@@ -93,15 +93,15 @@
         membership_replay replay = runningReplay(size);
         for (int i = 0; i < size; ++i)
             replay.cutStore(i);
-        replay.play(seconds(6));
+        replay.advance(seconds(6));
         replay.changeTable();
-        replay.mendStore();
-        replay.play(bound / 2);
+        replay.restoreStore();
+        replay.advance(bound / 2);
         CHECK(replay.daemonsBehind() == 0);
-        replay.play(seconds(2));
+        replay.advance(seconds(2));
         replay.tableReads = 0;
-        replay.play(seconds(2));
-        CHECK(double(replay.tableReads) / 2 <= mostReads);
+        replay.advance(seconds(2));
+        CHECK(double(replay.tableReads) / 2 <= maxReadsPerSecond);
     }
 }
 
