--- a/src/members/adaptive_timeout.cpp
+++ b/src/members/adaptive_timeout.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// A store that is fifty times slower than usual answers in 200 ms, and in 400 ms where a write
-/// spans parts; pauses come on top.
+/// Upper bound. A store fifty times slower than usual responds within 200 ms, or within 400 ms to a
+/// write that spans partitions; the margin covers pauses of the store and the hosts.
 constexpr double maxTimeoutMs = 700;
-/// Until answers have shown how long they take.
+/// Used until \c minSamples responses have been measured.
 constexpr double initialTimeoutMs = 400;
 constexpr int minSamples = 8;
-/// Ten usual answers: the store and the hosts have pauses of some tens of milliseconds.
+/// Lower bound, ten typical response times: the store and the hosts pause for some tens of
+/// milliseconds.
 constexpr double minTimeoutMs = 120;
-/// Weights of a new time, as for TCP's retransmission timeout (RFC 6298).
+/// Weights of a new sample, as in RFC 6298.
 constexpr double meanWeight = 0.125;
 constexpr double deviationWeight = 0.25;
 constexpr double deviationFactor = 4;
--- a/src/members/adaptive_timeout.h
+++ b/src/members/adaptive_timeout.h
@@ -4,23 +4,23 @@
 
 namespace azurehill {
 
-/// \brief How long an answer of the store is waited for before the call is made another way.
+/// \brief Adaptive timeout of a store call, after which the call is retried over another path.
 ///
-/// An answer that is lost never comes, so a short wait mends it soon; a store that has turned slow
-/// must not be asked twice for everything. The wait follows the times of answers that came, and
-/// doubles with each that did not.
+/// Estimated from the response times like TCP's retransmission timeout (RFC 6298), and doubled with
+/// each consecutive timeout. A short timeout recovers quickly from a lost response; backing off
+/// keeps a store that has become slow from receiving every call twice.
 class adaptive_timeout
 {
 public:
-    /// \brief An answer came after \p time.
+    /// \brief Records a response that took \p time.
     void onResponse(duration time);
-    /// \brief An answer was given up.
+    /// \brief Records a call that timed out.
     void onTimeout();
-    /// \returns how long to wait for the next one.
+    /// \returns the timeout of the next call.
     duration timeout() const;
 
 private:
-    /// Smoothed time of answers and its smoothed deviation, in milliseconds.
+    /// Smoothed response time and its smoothed mean deviation, in milliseconds.
     double m_meanMs = 0;
     double m_deviationMs = 0;
     int m_responseCount = 0;
--- a/src/members/datagram_socket.cpp
+++ b/src/members/datagram_socket.cpp
@@ -81,7 +81,7 @@
     m_state->meter.onCall(m_state->purpose, text.size(), 0, runtime_clock::now());
     if (!code)
         m_state->socket.send_to(asio::buffer(text), {ip, peer.port}, 0, code);
-    // A datagram that does not leave is like one that got lost: senders make up for both.
+    // Send errors are ignored: senders have to tolerate lost datagrams anyway.
 }
 
 } // namespace azurehill
--- a/src/members/gossip_reports.cpp
+++ b/src/members/gossip_reports.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Words older than this say little of a demand that follows bursts of some seconds. In this time
-/// some 36 messages come, six a round, of as many daemons where there are many.
+/// Older reports say little about a demand that changes in bursts of some seconds. Within this time
+/// some 36 messages arrive, six per round, from as many daemons if there are many.
 constexpr duration maxReportAge = milliseconds(1200);
 
 } // namespace
--- a/src/members/gossip_reports.h
+++ b/src/members/gossip_reports.h
@@ -9,22 +9,22 @@
 
 namespace azurehill {
 
-/// \brief The words on places and replicas that came lately, one of each daemon that was heard.
+/// \brief Recent reports of other daemons on engine demand and replica health, the latest of each.
 ///
-/// Each daemon talks to some others by chance in each round, so what it hears in a second is a
-/// sample of all, as fresh as a second, at a cost that does not grow with their number. Where there
-/// are few daemons it is all of them.
+/// Reports arrive with the messages of random daemons in each round. The reports of one second are
+/// a random sample of all daemons, at a cost that does not grow with their number, and cover all
+/// daemons if there are few.
 class gossip_reports
 {
 public:
-    /// \brief \p member told \p words of places and \p replicas.
-    void onReports(const daemon_id &member, place_words words, replica_words replicas,
+    /// \brief Stores the reports of \p member, in place of its earlier ones.
+    void onReports(const daemon_id &member, place_words demand, replica_words replicas,
                    time_point now);
-    /// \brief Forgets words that are too old.
+    /// \brief Removes reports that are too old.
     void expire(time_point now);
-    /// \returns what each daemon that was heard lately told last.
+    /// \returns the demand reports, one per daemon.
     std::vector<place_words> demandReports() const;
-    /// \returns what those daemons told of replicas, where they told anything.
+    /// \returns the replica reports that are not empty, one per daemon.
     std::vector<replica_words> replicaReports() const;
 
 private:
--- a/src/members/gossip_socket.h
+++ b/src/members/gossip_socket.h
@@ -7,18 +7,18 @@
 
 namespace azurehill {
 
-/// \brief Carries messages between daemons as datagrams. Used from one thread.
+/// \brief Sends and receives probe messages as UDP datagrams. Used from one thread.
 class gossip_socket
 {
 public:
     using receiver = std::function<void(const probe_message &, const endpoint &from)>;
 
-    /// \param onMessage called with each message that can be read.
+    /// \param onMessage called with each message that was decoded; others are logged.
     gossip_socket(const asio::any_io_executor &executor, receiver onMessage);
 
-    /// \brief Binds \p address and begins to receive. \returns the port, or 0.
+    /// \brief Binds \p address and starts receiving. \returns the bound port, or 0 on failure.
     std::uint16_t listen(const endpoint &address) { return m_socket.listen(address); }
-    /// \brief Sends without waiting; what can't go out at once is dropped, as any datagram may be.
+    /// \brief Sends without blocking. A datagram that can't be sent immediately is dropped.
     void send(const endpoint &peer, const std::string &message) { m_socket.send(peer, message); }
 
 private:
--- a/src/members/member_list.cpp
+++ b/src/members/member_list.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Members that are gone are remembered for as long as news of them may still pass, and as a cut
-/// between hosts may last. Hosts are replaced for good, two thousand a day in a large system:
-/// without an end the list would grow for as long as the process lives.
+/// Retention of dead members. It has to outlast updates about them that are still spreading, and
+/// network partitions. It is bounded because hosts are replaced permanently, two thousand a day in
+/// a large system, and the list would otherwise grow without limit.
 constexpr duration tombstoneRetention = std::chrono::minutes(10);
 
 } // namespace
--- a/src/members/member_list.h
+++ b/src/members/member_list.h
@@ -6,61 +6,62 @@
 
 namespace azurehill {
 
-/// \brief A member that was heard of, or is gone.
+/// \brief Transition of a member between alive and dead.
 struct member_change
 {
     member_state member;
     bool isAlive = false;
 };
 
-/// \brief The other daemons of the system, and what is held of each.
+/// \brief Local membership view: the other daemons and the last known state of each.
 class member_list
 {
 public:
-    /// \brief A member as it is known here.
+    /// \brief Last known state of one member.
     struct entry
     {
         member_update update;
-        /// Whether only the store names it: nobody has heard of it yet.
+        /// Whether the member is known from its row in the store only, without any message or
+        /// update that confirms it.
         bool isOnlyInStore = true;
-        /// When a suspicion becomes a death, unless the member denies it; of others, when they were
-        /// last heard or read of.
+        /// For a suspected member, when it is declared dead unless it refutes the suspicion. For
+        /// others, the start of the retention period of the entry.
         time_point deadAt;
 
         bool isAlive() const { return !isOnlyInStore && update.health != member_health::Dead; }
         bool isHealthy() const { return !isOnlyInStore && update.health == member_health::Alive; }
     };
 
-    /// \brief Takes in \p news. \returns whether it says more than what was known.
-    /// \param deadAt when the member is gone, if the news is a suspicion.
-    bool apply(const member_update &news, time_point deadAt);
-    /// \brief Takes in a member that the store names; it counts as alive once it is heard of.
+    /// \brief Merges \p update. \returns whether it supersedes the known state.
+    /// \param deadAt when the member is declared dead, if the update is a suspicion.
+    bool apply(const member_update &update, time_point deadAt);
+    /// \brief Adds a member that has a row in the store. It counts as alive only once a message or
+    /// an update confirms it.
     void onStoredMember(const member_state &state, time_point now);
-    /// \brief The member itself said its \p incarnation and \p version.
-    /// \returns whether that is its last word that is known here.
+    /// \brief Records a message from the member itself, sent at \p incarnation and \p version.
+    /// \returns whether the state known here is at least as recent.
     bool onMessageFrom(const daemon_id &name, std::int64_t incarnation, std::uint64_t version);
-    /// \brief Takes suspected members whose time is over for dead, and forgets those that are long
-    /// gone. \returns the names of the dead.
+    /// \brief Declares members dead whose suspicion timed out, and removes members whose retention
+    /// period is over. \returns the members that were declared dead.
     std::vector<daemon_id> expire(time_point now);
-    /// \brief Gives suspected members \p time more.
+    /// \brief Postpones the timeouts of all suspicions by \p time.
     void extendSuspicions(duration time);
 
-    /// \returns what is known of \p name, or null.
+    /// \returns the entry of \p name, or null.
     const entry *find(const daemon_id &name) const;
-    /// Members as they are known here, until the list changes.
+    /// Pointers into the list, valid until the list changes.
     using selection = std::vector<const member_state *>;
 
-    /// \returns the members that live, suspected ones included.
+    /// \returns the members that are alive, including suspected ones.
     selection alive() const;
-    /// \returns the members that live and that nobody suspects.
+    /// \returns the members that are alive and not suspected.
     selection healthy() const;
-    /// \returns the members that the store or others name, and that are suspected, gone or not
-    /// heard of yet.
+    /// \returns the members that are suspected, dead or known from the store only.
     selection unhealthy() const;
     std::size_t aliveCount() const { return m_aliveCount; }
     std::size_t knownCount() const { return m_members.size(); }
 
-    /// \returns what changed since the last call, from dead to alive or back.
+    /// \returns the transitions between alive and dead since the last call.
     std::vector<member_change> takeChanges();
 
 private:
--- a/src/members/member_state.cpp
+++ b/src/members/member_state.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Key of the version: rows of daemons of earlier releases have it too.
+/// Key of the version, kept for compatibility with the rows of earlier releases.
 constexpr std::string_view versionKey = "beat";
 
 json::object encode(const member_state &m)
@@ -70,7 +70,7 @@
             states.push_back(decode(m.as_object()));
         return states;
     } catch (const std::exception &) {
-        // The caller counts it and says where it came from.
+        // The caller counts the failure and logs the source of the text.
         return std::nullopt;
     }
 }
--- a/src/members/member_update.h
+++ b/src/members/member_update.h
@@ -4,10 +4,10 @@
 
 namespace azurehill {
 
-/// \brief What daemons hold of one of them.
+/// \brief Health of a member as seen by the other daemons.
 enum class member_health {
     Alive,
-    /// Some probes of it failed. It is gone soon, unless it denies that.
+    /// Did not answer its probes. It is declared dead unless it refutes that in time.
     Suspect,
     Dead,
 };
@@ -18,19 +18,20 @@
     static constexpr std::array<std::string_view, 3> names = {"alive", "suspect", "dead"};
 };
 
-/// \brief News of a member, as it passes from daemon to daemon.
+/// \brief Membership update, as disseminated by gossip.
 struct member_update
 {
     member_state state;
     member_health health = member_health::Alive;
 };
 
-/// \returns whether \p news says more than \p known: a later word of the member itself, or a worse
-/// one of others about the same word. Only the member itself can better it, by a later word.
-inline bool overrides(const member_update &news, const member_update &known)
+/// \returns whether \p update supersedes \p known: it has a newer state of the member, or worse
+/// health for the same state. Only the member itself can improve its health, by publishing a newer
+/// state.
+inline bool overrides(const member_update &update, const member_update &known)
 {
-    const auto age = compareAge(news.state, known.state);
-    return age > 0 || (age == 0 && news.health > known.health);
+    const auto age = compareAge(update.state, known.state);
+    return age > 0 || (age == 0 && update.health > known.health);
 }
 
 } // namespace azurehill
--- a/src/members/members.h
+++ b/src/members/members.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief The other daemons: who they are, which live, and calls of the store through them.
+/// \brief Membership and failure detection among the daemons, and store calls relayed by peers.
 
 #include "members/adaptive_timeout.h"
 #include "members/gossip_socket.h"
--- a/src/members/membership_protocol.cpp
+++ b/src/members/membership_protocol.cpp
@@ -6,32 +6,33 @@
 
 namespace {
 
-/// Members pinged in a round. With three, one in twenty rounds passes in which nobody pings a
-/// given member, whatever the number of daemons, and fifteen pings and as many answers a second
-/// stay under 6 KB.
+/// Members pinged per round. With three, a given member is pinged by no daemon in one round out of
+/// twenty, whatever the number of daemons; and fifteen pings and as many acks a second stay under
+/// 6 KB.
 constexpr std::size_t probesPerRound = 3;
-/// The same for the first rounds after a start, when nothing is known of the others.
+/// Members pinged per round in the first rounds after a start, when nothing is known of the others.
 constexpr std::size_t probesAtStart = 8;
 constexpr int startRounds = 10;
-/// Others that are asked to ping a member that did not answer: with one datagram in twenty lost,
-/// one suspicion in 10,000 unanswered pings is false.
+/// Members asked to ping a member that did not answer. With one datagram in twenty lost, one in
+/// 10,000 unanswered pings leads to a false suspicion.
 constexpr std::size_t indirectProbeCount = 3;
-/// Rounds without an answer after which others are asked, and after which a member is suspected.
-/// A host that pauses for one round loses nothing.
+/// Rounds without an ack until indirect probes are requested, and until the member is suspected.
+/// A host that pauses for one round is not suspected.
 constexpr int roundsUntilIndirect = 1;
 constexpr int roundsUntilSuspect = 2;
-/// A suspected member is gone after this time. News is everywhere in three to four rounds, and its
-/// denial on the way back in as many; but its callers wait for the news of its death meanwhile.
+/// Time until a suspected member is declared dead. An update reaches all daemons in three to four
+/// rounds, and the refutation takes as many to come back. A longer timeout would keep the callers
+/// of a dead member waiting.
 constexpr duration suspicionTimeout = milliseconds(600);
-/// News in one message: 130 bytes each, so that a message is under 4 KB also while hundreds of
-/// daemons start at once, and some 100 bytes in a calm time.
+/// At 130 bytes per update, a message stays under 4 KB even while hundreds of daemons start at
+/// once; without updates it has some 100 bytes.
 constexpr std::size_t maxUpdatesPerMessage = 28;
-/// Members that a daemon tells at once that it stops; these tell the others within two rounds.
+/// Members that a stopping daemon notifies directly; gossip reaches the others within two rounds.
 constexpr std::size_t leaveFanout = 40;
-/// A round that comes so late says that this daemon itself stood still.
+/// A longer interval between rounds means that this daemon itself was paused.
 constexpr duration lateRoundThreshold = 2 * membership_protocol::round;
-/// Without a message for so long a daemon takes itself for the one that is cut off: six and more
-/// come in a round otherwise, three answers and the pings of others.
+/// Without any message for this long, a daemon assumes that it is cut off itself: normally it
+/// receives at least six per round, three acks and the pings of others.
 constexpr duration isolationTimeout = 2 * membership_protocol::round;
 
 } // namespace
@@ -177,9 +178,8 @@
         return;
     const member_update update{known->update.state, member_health::Suspect};
     m_members.apply(update, now + suspicionTimeout);
-    // A daemon that can still send but hears nobody would accuse all others, by turns and without
-    // an end, and each would have to refute it to all: 30 KB a second at each of 300 daemons
-    // (replay).
+    // A daemon that can send but not receive would keep suspecting all others in turn, and each
+    // would have to refute that: 30 KB a second at each of 300 daemons in the replay test.
     if (!isIsolated(now))
         m_updates.add(name);
 }
@@ -229,8 +229,9 @@
         const endpoint to = m_members.find(name)->update.state.gossip;
         out.push_back({to, message(probe_kind::Ping, m_lastSequence)});
     }
-    // Silent ones may be back, or on the other side of a cut that is mended: one a round, and at a
-    // start as many as there would be others. They get no news, which would be lost with them.
+    // Unhealthy members may have recovered, or be reachable again after a network partition: one is
+    // pinged per round, and at start as many as fill up the round's probes. These pings carry no
+    // updates, whose transmissions would be wasted if the member is dead.
     const std::size_t silentProbeCount
         = m_rounds < startRounds ? probesAtStart - targets.size() : 1;
     for (const member_state *m : pick(m_members.unhealthy(), silentProbeCount))
@@ -242,8 +243,8 @@
     std::vector<probe_datagram> out;
     const duration sinceLastRound = m_lastRound ? now - *m_lastRound : round;
     m_lastRound = now;
-    // A daemon that stood still finds all its pings unanswered, and its watch over suspected
-    // members run out: that says nothing of the others.
+    // After a pause of this daemon, unanswered pings and expired suspicion timeouts say nothing
+    // about the other daemons.
     if (sinceLastRound > lateRoundThreshold) {
         m_probes.clear();
         m_members.extendSuspicions(sinceLastRound);
@@ -263,7 +264,7 @@
 {
     const auto answered = m_probes.extract(m.sequence);
     const auto *sender = m_members.find(m.sender);
-    // An answer that came through another daemon has that one's digest, and was asked for later.
+    // The sender of a relayed ack is the relay: a digest would be the relay's, and requested later.
     const bool isDirect = answered && answered.mapped().target == m.sender;
     if (isDirect && m.replicas && sender)
         m_digests.push_back({sender->update.state.peers, *m.replicas, answered.mapped().sentAt});
@@ -292,8 +293,9 @@
     }
     if (m.kind == probe_kind::Ack)
         onAck(m, out);
-    // What was told unasked is answered only if it asks, and that answer asks nothing: two daemons
-    // that doubt each other would otherwise send messages without an end.
+    // An unsolicited message is answered only if it requests this daemon's state, and the answer
+    // requests nothing: two daemons that suspect each other would otherwise exchange messages
+    // endlessly.
     const bool isUnsolicited = m.kind == probe_kind::Ack && m.sequence == 0;
     const bool needsAnswer = !isUnsolicited && (!isKnown || isSuspected);
     if (m.kind != probe_kind::Ping && !m.requestsState && !needsAnswer)
@@ -304,7 +306,7 @@
         answer.replicas = replicasAt(now);
     if (m.requestsState)
         answer.updates.push_back({m_self, member_health::Alive});
-    // What others hold of the sender reaches it, so that it can refute it.
+    // The sender has to learn that it is suspected in order to refute that.
     if (isSuspected)
         answer.updates.push_back(sender->update);
     out.push_back({from, std::move(answer)});
--- a/src/members/membership_protocol.h
+++ b/src/members/membership_protocol.h
@@ -10,85 +10,88 @@
 
 namespace azurehill {
 
-/// \brief A message and where it goes.
+/// \brief An outgoing message and its destination.
 struct probe_datagram
 {
     endpoint to;
     probe_message message;
 };
 
-/// \brief What a living daemon told of its copy of the replicas' entries.
+/// \brief Digest of a live peer's copy of the replica table.
 struct peer_digest
 {
-    /// Where that daemon answers other daemons.
+    /// Address at which the peer serves other daemons.
     endpoint peer;
     table_digest digest;
-    /// When this daemon asked: the digest is at least as young.
+    /// When this daemon sent the ping; the digest is no older.
     time_point askedAt;
 };
 
-/// \brief Finds out which daemons live by probes, and passes on what changed (SWIM).
+/// \brief SWIM failure detector with gossip dissemination of membership updates.
 ///
-/// In each round a daemon pings a few others. One that does not answer is asked again, directly and
-/// through others; if that fails as well it is suspected, and gone if it does not refute that in
-/// time. News travels with the pings and their answers, so a daemon's cost is the same whatever
-/// their number, and silence of one link or of the daemon that probes makes nobody dead.
+/// In each round a daemon pings a few others. One that does not answer is pinged again, directly
+/// and through others; if that fails as well it is suspected, and declared dead unless it refutes
+/// the suspicion in time. Updates are piggybacked on pings and acks, so the cost per daemon does
+/// not depend on the number of daemons. A single broken link, or a prober that is cut off, does not
+/// get a live daemon declared dead.
 ///
-/// It does no input or output: messages and the time go in, messages come out.
+/// Performs no I/O: it is driven by received messages and the current time, and returns the
+/// messages to send.
 class membership_protocol
 {
 public:
-    /// Time from one call of onRound() to the next.
+    /// Interval between calls of onRound().
     static constexpr duration round = milliseconds(200);
 
     membership_protocol(member_state self, std::uint64_t seed);
 
     const member_state &self() const { return m_self; }
-    /// \brief Takes in whether callers may be sent here, and whether this daemon reaches the store.
+    /// \brief Publishes whether callers may be directed to this daemon, and whether it reaches the
+    /// store.
     void setSelf(bool isServing, bool isStoreReachable);
-    /// \brief Takes in what this daemon tells the others of its places at the engines.
-    void setDemandReports(place_words words) { m_demandReports = std::move(words); }
-    /// \brief Takes in what this daemon tells the others of replicas.
-    void setReplicaReports(replica_words words) { m_replicaReports = std::move(words); }
+    /// \brief Sets the reports of this daemon's demand for engine slots that its messages carry.
+    void setDemandReports(place_words reports) { m_demandReports = std::move(reports); }
+    /// \brief Sets the reports of replica health that this daemon's messages carry.
+    void setReplicaReports(replica_words reports) { m_replicaReports = std::move(reports); }
 
-    /// \brief Takes in this daemon's copy of the replicas' entries; its age goes on from \p now.
+    /// \brief Sets the digest of this daemon's copy of the replica table, with its age at \p now.
     void setReplicaDigest(const table_digest &digest, time_point now);
 
-    /// \brief Takes in a member that the store names. A row of this daemon's own name that an
-    /// earlier run left has this run tell a larger incarnation, also if the clock went back.
+    /// \brief Adds a member that has a row in the store. If the row has this daemon's own name,
+    /// left by an earlier run, this run takes a larger incarnation, even if the clock was set back.
     void onStoredMember(const member_state &state, time_point now);
-    /// \brief Begins a round. \returns the messages to send.
+    /// \brief Starts a round. \returns the messages to send.
     std::vector<probe_datagram> onRound(time_point now);
-    /// \brief Takes in a message that came from \p from. \returns the messages to send.
+    /// \brief Processes a message received from \p from. \returns the messages to send.
     std::vector<probe_datagram> onMessage(const probe_message &message, const endpoint &from,
                                           time_point now);
-    /// \brief This daemon stops. \returns the messages that tell some others at once.
+    /// \brief Announces that this daemon stops. \returns the messages to send.
     std::vector<probe_datagram> leave();
-    /// \returns a message for a daemon of which only the address is known.
+    /// \returns the first message to a daemon of which only the address is known.
     probe_message joinMessage();
 
     const member_list &members() const { return m_members; }
-    /// \returns what other daemons told lately of their places at the engines.
+    /// \returns recent reports of other daemons' demand for engine slots.
     std::vector<place_words> demandReportsHeard() const { return m_gossipReports.demandReports(); }
-    /// \returns what other daemons told lately of replicas.
+    /// \returns recent reports of other daemons on replica health.
     std::vector<replica_words> replicaReportsHeard() const
     {
         return m_gossipReports.replicaReports();
     }
-    /// \returns the members that came or went since the last call.
+    /// \returns the members that became alive or dead since the last call.
     std::vector<member_change> takeChanges() { return m_members.takeChanges(); }
-    /// \returns what came of other daemons' copies since the last call.
+    /// \returns the digests of other daemons' replica tables received since the last call.
     std::vector<peer_digest> takeDigests() { return std::exchange(m_digests, {}); }
 
 private:
-    /// \brief A ping that was not answered yet.
+    /// \brief A ping that awaits its ack.
     struct probe
     {
         daemon_id target;
         time_point sentAt;
         int rounds = 0;
     };
-    /// \brief A ping that was made for another daemon.
+    /// \brief A ping sent on behalf of another daemon.
     struct relayed_ping
     {
         endpoint asker;
@@ -96,16 +99,17 @@
         int rounds = 0;
     };
 
-    /// \returns a message with news of members, which counts as sent to one more.
+    /// \returns a message with queued membership updates, and counts these as sent once more.
     probe_message message(probe_kind kind, std::uint64_t sequence);
-    /// \returns a message without news, for a receiver that may be gone.
+    /// \returns a message without membership updates, for a receiver that may be dead.
     probe_message messageWithoutUpdates(probe_kind kind, std::uint64_t sequence) const;
-    /// \returns up to \p count members by chance out of \p candidates.
+    /// \returns up to \p count random members of \p candidates.
     member_list::selection pick(member_list::selection candidates, std::size_t count);
     std::vector<daemon_id> nextTargets();
-    void mergeUpdate(const member_update &news, time_point now);
-    void refute(const member_state &said);
-    /// \returns whether no message has come for so long that this daemon is cut off itself.
+    void mergeUpdate(const member_update &update, time_point now);
+    void refute(const member_state &refuted);
+    /// \returns whether this daemon has received no message for so long that it is presumably cut
+    /// off itself.
     bool isIsolated(time_point now) const;
     void suspect(const daemon_id &name, time_point now);
     void checkProbes(std::vector<probe_datagram> &out, time_point now);
@@ -123,16 +127,16 @@
     place_words m_demandReports;
     replica_words m_replicaReports;
     std::optional<table_digest> m_replicas;
-    /// When \c m_replicas had the age that it tells.
+    /// When \c m_replicas was set; its age is relative to this time.
     time_point m_replicasAt;
     std::vector<peer_digest> m_digests;
     std::map<std::uint64_t, probe> m_probes;
     std::map<std::uint64_t, relayed_ping> m_relayed;
     std::uint64_t m_lastSequence = 0;
-    /// Members that this daemon pings next, in an order by chance that names each once.
+    /// Members still to be pinged in the current pass, in random order and each once.
     std::vector<daemon_id> m_targets;
     std::optional<time_point> m_lastRound;
-    /// When the last message of another daemon came.
+    /// When the last message from another daemon was received.
     time_point m_heardAt;
     int m_rounds = 0;
 };
--- a/src/members/peer_transport.cpp
+++ b/src/members/peer_transport.cpp
@@ -12,14 +12,14 @@
 constexpr std::string_view targetHeader = "Store-Target";
 constexpr std::string_view timeoutHeader = "Store-Time-Ms";
 
-/// Longest wait for a direct answer while the direct way is taken for lost: a host that the store
-/// turns away silently pays it for each look whether that is over.
+/// Upper bound of the direct timeout while direct calls fail. A host whose calls the store silently
+/// drops spends this time on each attempt to find out whether direct calls succeed again.
 constexpr duration timeoutWhileFailing = milliseconds(400);
-/// How long calls go through a peer before the direct way is tried again.
+/// How long calls go through a peer before a direct call is tried again.
 constexpr duration directRetryInterval = milliseconds(700);
 constexpr duration connectTime = milliseconds(200);
-/// Time for a peer's call that does not say how long it may take, and the most that it may say: a
-/// call that the store holds on purpose lasts some seconds.
+/// Default and upper bound of the timeout of a relayed call. The bound leaves room for long polls,
+/// which the store holds for some seconds.
 constexpr std::int64_t defaultTimeoutMs = 1000;
 constexpr std::int64_t maxTimeoutMs = 5000;
 constexpr duration maxIdle = seconds(5);
@@ -61,7 +61,7 @@
     return out;
 }
 
-/// \returns when the peer gives up the call in \p request.
+/// \returns the deadline that the peer set for the call in \p request.
 time_point deadlineOf(const http_request &request)
 {
     const std::string headerValue(request.headers.get(timeoutHeader));
@@ -113,7 +113,7 @@
     std::string path(request.path());
     const time_point began = runtime_clock::now();
     auto response = co_await m_direct.exchange(std::move(request), deadline, {});
-    // A call that went into a silence that is over tells nothing of the direct way as it is now.
+    // A failed call that was sent before the last success says nothing about the current state.
     const bool isOutdated
         = began < m_directAnsweredAt && !(response && !isRejection(response->status));
     if (!isOutdated)
@@ -133,7 +133,8 @@
     }
     if (isRateLimited(result))
         m_rateLimitedSince = m_rateLimitedSince.value_or(now);
-    // Taken for an outage, the store's limit would send every call a second time, through a peer.
+    // If the store's rate limit counted as an outage, every call would be made a second time
+    // through a peer.
     const bool isTolerated = m_mechanisms.has(mechanism::LimitIsNoOutage) && isRateLimited(result);
     if (isTolerated && isDirectWorking() && now - *m_rateLimitedSince < rateLimitTolerance)
         return;
@@ -196,8 +197,8 @@
     const bool failed = !first || isRejection(first->status);
     if (!failed || m_peers.empty() || runtime_clock::now() >= deadline)
         co_return first;
-    // The other way: every call may be made again, since reads change nothing and writes have
-    // conditions that fail if the first try took effect.
+    // Retry over the other path. Every call may be repeated: reads have no effects, and writes have
+    // preconditions that fail if the first attempt took effect.
     exchange_result second;
     if (peerFirst)
         second = co_await exchangeDirectly(std::move(request), deadline);
@@ -205,7 +206,8 @@
         second = co_await exchangeThroughPeer(std::move(request), deadline);
     const bool isOutcomeUnknown = !first && first.error().ran != outcome::DidNotRun;
     const bool secondFailed = !second || isRejection(second->status);
-    // "Nothing was done" would be false if the first try may still take effect.
+    // An error that says that the call did not run would be wrong if the first attempt may still
+    // take effect.
     if (isOutcomeUnknown && secondFailed)
         co_return first;
     co_return second;
--- a/src/members/peer_transport.h
+++ b/src/members/peer_transport.h
@@ -9,10 +9,10 @@
 
 namespace azurehill {
 
-/// \brief Reaches the store directly, or through another daemon that can.
+/// \brief Store transport that fails over between the direct connection and a relaying peer.
 ///
-/// The store may turn away some hosts, or a host may be cut off from the store alone, while others
-/// work: calls then fail or hang here only. A peer that reaches the store makes the call for us.
+/// The store may reject some hosts, or the network between one host and the store may fail, while
+/// other daemons still reach it. Calls are then relayed by such a peer.
 class peer_transport : public store_transport
 {
 public:
@@ -21,18 +21,19 @@
 
     awaitable<tl::expected<http_response, http_error>>
     exchange(http_request request, time_point deadline, duration hold) override;
-    /// \brief Takes in which peers reach the store.
+    /// \brief Sets the peers that reach the store.
     void setPeers(std::vector<endpoint> reachingStore);
-    /// \returns whether direct calls are answered. A call beyond the store's rate is answered,
-    /// unless only such answers came for a while: then the store turns this host away. One answer
-    /// that does not come may be lost; two in a row, or one refusal, say that they are not.
+    /// \returns whether direct calls succeed. Two consecutive timeouts, or a single rejection,
+    /// count as a failure; a single timeout may be a lost response. A rate-limited response counts
+    /// as a success, unless the store sends nothing else for \c rateLimitTolerance, which means
+    /// that it rejects this host.
     bool isDirectWorking() const { return m_directFailures < directFailureThreshold; }
-    /// \returns when the store last answered, directly or through a peer.
+    /// \returns when the store last responded, directly or through a peer.
     time_point lastAnswer() const { return m_answeredAt; }
-    /// \returns what the last direct call that failed was, and how it failed.
+    /// \returns path and error of the last direct call that failed.
     const std::string &lastDirectFailure() const { return m_lastDirectFailure; }
 
-    /// \brief Makes a call for a peer, directly only, so that calls don't go in circles.
+    /// \brief Makes a call on behalf of a peer, without relaying it, so that calls can't loop.
     awaitable<tl::expected<http_response, http_error>> exchangeDirectly(http_request request,
                                                                         time_point deadline);
 
@@ -40,14 +41,14 @@
     using exchange_result = tl::expected<http_response, http_error>;
 
     void recordDirectResult(const exchange_result &result, std::string path);
-    /// \brief Learns how long direct answers take.
+    /// \brief Updates the adaptive timeout of direct calls.
     void recordResponseTime(const exchange_result &result, duration took);
     awaitable<tl::expected<http_response, http_error>> exchangeThroughPeer(http_request request,
                                                                            time_point deadline);
 
     static constexpr int directFailureThreshold = 2;
-    /// Nothing but "too many" for this long means that this host is turned away: a store at its
-    /// limit answers some of the calls.
+    /// Only rate-limited responses for this long mean that the store rejects this host: a store at
+    /// its rate limit still serves some of the calls.
     static constexpr duration rateLimitTolerance = milliseconds(400);
 
     mechanism_set m_mechanisms;
@@ -58,18 +59,18 @@
     std::size_t m_nextPeer = 0;
     int m_directFailures = 0;
     time_point m_directFailedAt;
-    /// When a direct call last worked.
+    /// When a direct call last succeeded.
     time_point m_directAnsweredAt;
-    /// When direct calls were first answered "too many", if nothing else has come since.
+    /// First of the consecutive rate-limited direct responses, if the last one was rate-limited.
     std::optional<time_point> m_rateLimitedSince;
     time_point m_answeredAt = runtime_clock::now();
     std::string m_lastDirectFailure;
 };
 
-/// \returns whether \p request asks for a call of the store on behalf of a peer.
+/// \returns whether \p request is a store call to be relayed for a peer.
 bool isRelayedCall(const http_request &request);
-/// \brief Makes the call inside \p request for a peer. \returns the store's answer, or a failure
-/// that says whether something may have been done.
+/// \brief Relays the store call in \p request for a peer. \returns the store's response, or an
+/// error status that says whether the call may have taken effect.
 awaitable<http_response> answerRelayedCall(peer_transport &transport, const http_request &request);
 
 } // namespace azurehill
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -14,12 +14,14 @@
 
 namespace {
 
-/// Words on places are told in hundredths, as whole numbers.
+/// Numbers in demand reports are encoded as integers, in hundredths.
 constexpr double hundredths = 100;
-/// Largest number in a word on places, in hundredths: far above what a daemon or a replica bears.
+/// Largest number in a demand report, in hundredths: far above the load that a daemon or a replica
+/// can handle.
 constexpr std::int64_t maxReportedHundredths = 10'000'000;
 
-/// Fields of an update, which is an array: thirty go in one message.
+/// Indices of the fields of an encoded update. It is an array, since a message carries up to
+/// thirty.
 enum update_field : std::size_t {
     Name,
     Incarnation,
@@ -64,16 +66,16 @@
 {
     const auto number = value.to_number<std::size_t>();
     if (number >= enum_names<Enum>::names.size())
-        throw std::out_of_range("not a known kind");
+        throw std::out_of_range("unknown enum value");
     return Enum(number);
 }
 
-/// \returns the number in \p value. \throws if no daemon tells it.
+/// \returns the number in \p value. \throws std::out_of_range if no daemon would report it.
 double numberIn(const json::value &value)
 {
     const auto number = value.to_number<std::int64_t>();
     if (number < 0 || number > maxReportedHundredths)
-        throw std::out_of_range("a word on places");
+        throw std::out_of_range("number in a demand report out of range");
     return double(number) / hundredths;
 }
 
@@ -91,7 +93,7 @@
 replica_words replicaReportsIn(const json::object &o)
 {
     if (o.size() > mostReplicaWords)
-        throw std::out_of_range("words on replicas");
+        throw std::out_of_range("too many replica reports");
     replica_words reports;
     for (const auto &[id, value] : o)
         reports.emplace(upstream_id{std::string(id)}, enumIn<replica_word>(value));
@@ -102,7 +104,7 @@
 {
     const json::array &a = value.as_array();
     if (a.size() < UpdateFields)
-        throw std::out_of_range("an update");
+        throw std::out_of_range("member update truncated");
     member_update update;
     member_state &m = update.state;
     m.name = {std::string(a[Name].as_string())};
@@ -185,7 +187,7 @@
         const json::value document = json::parse(text);
         return messageIn(document.as_object());
     } catch (const std::exception &) {
-        // The caller counts it and says where it came from.
+        // The caller counts the failure and logs the source of the text.
         return std::nullopt;
     }
 }
--- a/src/members/probe_message.h
+++ b/src/members/probe_message.h
@@ -10,9 +10,9 @@
 enum class probe_kind {
     /// Asks the receiver for an Ack.
     Ping,
-    /// Answers a Ping, or tells something unasked with the sequence number 0.
+    /// Answers a Ping; with sequence number 0, an unsolicited notice.
     Ack,
-    /// Asks the receiver to ping another daemon, and to pass its Ack on.
+    /// Asks the receiver to ping another daemon and to relay its Ack.
     IndirectPing,
 };
 
@@ -22,33 +22,34 @@
     static constexpr std::array<std::string_view, 3> names = {"ping", "ack", "indirect_ping"};
 };
 
-/// \brief One datagram between daemons.
+/// \brief SWIM message between daemons, sent as one datagram.
 struct probe_message
 {
     probe_kind kind = probe_kind::Ping;
-    /// The sender's own number of a Ping, which its Ack repeats.
+    /// Number of the Ping, chosen by its sender and repeated in the Ack.
     std::uint64_t sequence = 0;
     daemon_id sender;
-    /// The sender's last word of itself.
+    /// The sender's current incarnation and version.
     std::int64_t incarnation = 0;
     std::uint64_t version = 0;
-    /// Whether the sender does not know the receiver's last word of itself, and wants to hear it.
+    /// Whether the sender requests the receiver's own state, since it does not know the latest.
     bool requestsState = false;
-    /// Whom to ping; for IndirectPing only.
+    /// Address to ping; for IndirectPing only.
     std::optional<endpoint> target;
-    /// What the sender wants of the engines, and what it holds to be right there.
+    /// The sender's demand at the engines of each service, and the load per replica that it
+    /// considers right.
     place_words demandReports;
-    /// What the sender has seen of replicas that fail requests, or failed them.
+    /// The sender's observations of replicas that fail requests, or did so recently.
     replica_words replicaReports;
-    /// The sender's copy of the replicas' entries; in an Ack of a Ping only, whose receiver knows
-    /// how old it may be by now.
+    /// Digest of the sender's copy of the replica table. Only in the Ack of a Ping, since its
+    /// receiver can bound the digest's age by the time of the Ping.
     std::optional<table_digest> replicas;
     std::vector<member_update> updates;
 };
 
-/// \returns \p message as the text of a datagram.
+/// \returns \p message as JSON text.
 std::string encodeProbe(const probe_message &message);
-/// \returns the message in \p text, or nothing when it can't be read.
+/// \returns the message in \p text, or nothing if it is malformed.
 std::optional<probe_message> decodeProbe(std::string_view text);
 
 } // namespace azurehill
--- a/src/members/update_queue.cpp
+++ b/src/members/update_queue.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
-/// Times that a daemon passes on one piece of news. If each that has heard it tells twelve others
-/// by chance, one in 160,000 does not hear it (the share s with s = e^(-12(1-s))), whatever their
-/// number. With eight it was one in 3,000: of 150 daemons that stopped at once ten were still held
-/// for alive by one of the others four seconds later (replay of 300).
+/// Number of times that a daemon sends one update. If each daemon that has an update sends it to
+/// twelve random others, one daemon in 160,000 does not receive it (the fraction s with
+/// s = e^(-12(1-s))), whatever their number. With eight it is one in 3,000: in a replay of 300
+/// daemons of which 150 stopped at once, ten were still alive in the view of one of the others four
+/// seconds later.
 constexpr int maxTransmissions = 12;
 
 } // namespace
--- a/src/members/update_queue.h
+++ b/src/members/update_queue.h
@@ -10,21 +10,21 @@
 
 namespace azurehill {
 
-/// \brief The members of whom there is news to pass on.
+/// \brief Dissemination queue of the gossip protocol: members whose latest update is to be sent.
 ///
-/// News goes out with messages that are sent anyway, a bounded number of times. What was sent least
-/// goes first, so that the newest is everywhere first also while there is much.
+/// Updates are piggybacked on messages, each a bounded number of times. The update with the fewest
+/// transmissions goes first, so that new updates spread quickly even when there are many.
 class update_queue
 {
 public:
-    /// \brief There is news of \p member; earlier news of it is no more.
+    /// \brief Queues an update of \p member, in place of an earlier one.
     void add(const daemon_id &member);
-    /// \returns up to \p most members, and counts their news as sent once more.
-    std::vector<daemon_id> take(std::size_t most);
+    /// \returns up to \p maxCount members, and counts their updates as sent once more.
+    std::vector<daemon_id> take(std::size_t maxCount);
     std::size_t size() const { return m_order.size(); }
 
 private:
-    /// Times sent, then the newest first.
+    /// Number of transmissions, then the newest first.
     using queue_key = std::tuple<int, std::int64_t, daemon_id>;
 
     std::set<queue_key> m_order;
