--- a/src/lending/credit_exchange.cpp
+++ b/src/lending/credit_exchange.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// An answer that has not come after this long was lost, or its sender writes a row, or has more
-/// to answer than it can: so the pause is doubled with each ask of a request.
+/// A missing answer was lost, or the lender is writing its row, or the lender is overloaded. The
+/// interval is therefore doubled with each transmission of a request.
 constexpr duration initialRetryInterval = milliseconds(60);
-/// Holders that a request is sent on to without a pause.
+/// Redirects that a request follows immediately.
 constexpr int maxRedirects = 2;
-/// Longest wait for a credit. Holders change within less.
+/// Upper bound of the wait for a credit. A change of holder takes less.
 constexpr duration maxBorrowTime = seconds(1);
 
 } // namespace
@@ -88,7 +88,7 @@
     const std::size_t shard = shardOf(found->second->account);
     const bool isNewHolder = !message.holder.empty() && m_holders[shard] != message.holder;
     m_holders[shard] = message.holder;
-    // Two daemons that name each other must not be asked in circles.
+    // The bound breaks redirect loops of two daemons that name each other.
     if (isNewHolder && ++found->second->redirects <= maxRedirects)
         found->second->wakeUpTimer.cancel();
 }
@@ -126,7 +126,7 @@
     auto pending = std::make_shared<pending_loan>(m_executor);
     pending->account = account;
     m_pending[number] = pending;
-    // A credit that comes later than this must not be used.
+    // A credit that arrives after the loan has expired must not be used.
     const time_point until = std::min(deadline, runtime_clock::now() + credit_ledger::loanTime);
     while (!pending->result && runtime_clock::now() < until) {
         pending->wakeUpTimer.expires_at(std::min(until, runtime_clock::now() + retryInterval));
@@ -156,7 +156,7 @@
         auto result = co_await borrowOnce(std::move(copy), use, retryInterval, until);
         if (result)
             co_return *result;
-        // What was said of the holder led nowhere.
+        // The presumed holder did not answer.
         m_holders.erase(shardOf(account));
     }
     co_return lender_unreachable();
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-/// Rows that are held are written anew this often: an outage of the store then finds the most of
-/// their validity left.
+/// Interval at which held rows are renewed. It is short, so that most of their validity is left
+/// when an outage of the store begins.
 constexpr duration renewInterval = milliseconds(2500);
 constexpr duration maintenanceInterval = milliseconds(250);
-/// Pause between two tries of one row, and of one that another daemon holds as far as is known.
+/// Minimum intervals between attempts to write a row, and to write one that a live other daemon was
+/// last seen to hold.
 constexpr duration retryInterval = milliseconds(40);
 constexpr duration foreignRowRetryInterval = milliseconds(500);
-/// A row is handed on to the daemon that should hold it after this long: members that come and go
-/// would otherwise move it about.
+/// Delay before a row is handed over to its preferred holder. It keeps flapping members from moving
+/// rows back and forth.
 constexpr duration handOverDelay = seconds(2);
 constexpr duration rowWriteTimeout = milliseconds(700);
-/// Answers that show another state of the row than expected, after which a write is left.
+/// Attempts to write a row before giving up, when each finds a conflicting version.
 constexpr int maxAttempts = 4;
 
 } // namespace
@@ -61,7 +62,7 @@
     const std::uint64_t number = request.id.number;
     const account_rule *const rule
         = m_routes ? m_routes->accounts().find(request.account) : nullptr;
-    // The asker may know a newer configuration than this daemon.
+    // The borrower may have a newer configuration than this daemon.
     if (!rule || m_isReleased)
         return std::nullopt;
     if (!rule->quota)
@@ -167,7 +168,7 @@
         const bool wasHeld = state.book.isHeld();
         const quota_row row = state.book.prepare(m_routes->accounts(), sentAt);
         store_transaction t;
-        // All requests of the row's accounts wait for it.
+        // All requests of the accounts of the shard wait for this write.
         t.urgency = write_urgency::End;
         t.conditions.push_back({name, state.version});
         t.writes.push_back({name, encodeQuotaRow(row)});
@@ -204,14 +205,14 @@
 {
     const auto row = decodeQuotaRow(found.value);
     if (!row) {
-        m_unreadable.tell(log_event::RowUnreadable, found, "not a row of quotas");
+        m_unreadable.tell(log_event::RowUnreadable, found, "malformed quota row");
         return false;
     }
     const member_state &self = m_view.self();
     const time_point now = runtime_clock::now();
     if (row->holder == self.name && row->incarnation == state.book.incarnation()
         && !row->isReleased) {
-        // An earlier write whose answer was lost.
+        // The row is from an earlier write by this daemon whose response was lost.
         state.version = found.version;
         return true;
     }
@@ -223,7 +224,7 @@
             logDecision(log_event::QuotaLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
         state.book.onLost();
-        // Not the row's version: the next try has to find it changed, and judge it again.
+        // Not the row's version, so that the next attempt conflicts and examines the row again.
         state.version = 0;
         state.foreignRow = *row;
         return false;
@@ -247,7 +248,7 @@
     t.urgency = write_urgency::Begin;
     t.conditions.push_back({name, state.version});
     t.writes.push_back({name, encodeQuotaRow(row)});
-    // If it fails, the next holder takes this daemon for one that may still lend.
+    // If the write fails, the next holder has to assume that this daemon may still lend.
     const auto version = co_await m_store.transact(std::move(t), until);
     if (version)
         state.version = *version;
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -10,25 +10,25 @@
 
 namespace azurehill {
 
-/// \brief Holds rows of quotas in the store and lends the credits that they allow. Used on the
-/// traffic thread.
+/// \brief Server side of distributed quotas: holds quota rows in the store, each like a lease on a
+/// shard of accounts, and lends the credits that they allow. Used on the traffic thread.
 class credit_lender
 {
 public:
-    /// \param rows the store; it outlives this object.
+    /// \param rows the store; must outlive this object.
     credit_lender(asio::any_io_executor executor, store &rows, const lender_view &view,
                   const quota_bound &bound);
 
-    /// \brief Takes in the configuration in force.
+    /// \brief Sets the configuration in force.
     void setRoutes(route_book_ptr routes);
-    /// \returns the answer to \p request; nothing while it can't be told, and the asker has to ask
-    /// again.
+    /// \returns the answer to \p request, or nothing if there is none yet and the borrower has to
+    /// retry.
     std::optional<quota_message> answer(const credit_request &request);
     void onReturn(const credit_return &message);
-    /// \brief Takes the rows that this daemon should hold, and renews those that it holds. Runs
-    /// until the program ends.
+    /// \brief Acquires the rows that this daemon should hold, and renews those that it holds. Runs
+    /// until the process ends.
     awaitable<void> maintain();
-    /// \brief Gives up all rows, by \p latest at the latest.
+    /// \brief Releases all rows, until \p latest.
     awaitable<void> release(time_point latest);
 
 private:
@@ -36,11 +36,11 @@
     {
         explicit shard_state(quota_book b) : book(std::move(b)) { }
         quota_book book;
-        /// Version of the row as this daemon knows it.
+        /// Last known version of the row in the store.
         store_version version = 0;
-        /// The row as another daemon left it, if this one has seen it so last.
+        /// The row as last read, if another daemon holds it.
         std::optional<quota_row> foreignRow;
-        /// Since when another daemon should hold the row that this one holds.
+        /// Since when another daemon is the preferred holder of a row that this daemon holds.
         std::optional<time_point> notPreferredSince;
         bool isWriting = false;
         time_point writtenAt;
@@ -48,20 +48,21 @@
     };
 
     shard_state &stateOf(std::size_t shard);
-    /// \returns whether the configuration limits an account of \p shard.
+    /// \returns whether an account of \p shard has a quota.
     bool hasQuotas(std::size_t shard) const;
-    /// \returns the daemon that holds the row of \p state as far as this one knows, or an empty id.
+    /// \returns the live other daemon last known to hold the row of \p state, or an empty id.
     daemon_id holderOf(const shard_state &state) const;
-    /// \brief Takes, renews or hands on the row of \p shard if it is time.
+    /// \brief Acquires, renews or hands over the row of \p shard if due.
     void maintainShard(std::size_t shard, time_point now);
-    /// \brief Gives the row of \p shard up for the daemon that should hold it.
+    /// \brief Releases the row of \p shard, for its preferred holder to acquire.
     awaitable<void> handOver(std::size_t shard, time_point until);
-    /// \brief Has the row of \p shard written, unless that is under way or was tried just now.
+    /// \brief Starts a write of the row of \p shard, unless one is in progress or was attempted
+    /// very recently.
     void acquireOrRenew(std::size_t shard);
     awaitable<void> write(std::size_t shard);
-    /// \brief Takes in \p error of a write. \returns whether to write again at once.
+    /// \brief Handles \p error of a write. \returns whether to retry immediately.
     bool onFailed(std::size_t shard, shard_state &state, const store_error &error);
-    /// \brief Takes in the row as the store has it. \returns whether to write again at once.
+    /// \brief Handles a conflicting row in the store. \returns whether to retry immediately.
     bool onRow(std::size_t shard, shard_state &state, const stored_row &found);
 
     asio::any_io_executor m_executor;
--- a/src/lending/lender_view.cpp
+++ b/src/lending/lender_view.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A daemon that has run for less knows too few others to call one silent.
+/// Before this, a daemon knows too few others to conclude that one is silent.
 constexpr duration settleTime = seconds(3);
 
 } // namespace
--- a/src/lending/lender_view.h
+++ b/src/lending/lender_view.h
@@ -5,21 +5,23 @@
 
 namespace azurehill {
 
-/// \brief The daemons that live, as far as lending is concerned.
+/// \brief Membership view of the lending of credits: the live daemons, and which of them should
+/// hold the quota row of a shard.
 class lender_view
 {
 public:
-    /// \brief Takes in this daemon's word of itself and the others that live.
+    /// \brief Sets the state of this daemon and of the other live daemons.
     void set(member_state self, std::vector<member_state> others);
 
     const member_state &self() const { return m_self; }
-    /// \returns the daemon called \p name, this one included, or null.
+    /// \returns the live daemon called \p name, which may be this one, or null.
     const member_state *find(const daemon_id &name) const;
     /// \returns the daemon that should hold \p shard.
     daemon_id preferred(std::size_t shard) const;
-    /// \returns what is known of the holder that \p row names.
+    /// \returns the state of the holder of \p row.
     holder_state stateOf(const quota_row &row) const;
-    /// \returns whether there are enough words of others to tell who is silent.
+    /// \returns whether this daemon has run long enough to treat a holder that is not among the
+    /// live daemons as silent.
     bool isSettled(time_point now) const;
 
 private:
@@ -30,7 +32,8 @@
     std::optional<time_point> m_firstSetAt;
 };
 
-/// \returns where \p member receives datagrams on credits: beside those on members.
+/// \returns the address at which \p member receives lending messages: the port after the gossip
+/// port.
 endpoint lendingAddress(const member_state &member);
 
 } // namespace azurehill
--- a/src/lending/lending.h
+++ b/src/lending/lending.h
@@ -1,6 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Credits of client accounts on their way between daemons, and the rows that back them.
+/// \brief Distributed quotas of client accounts: daemons borrow credits from the daemon that holds
+/// the quota row of an account in the store.
 
 #include "lending/credit_exchange.h"
