--- a/test/io/adaptive_timeout_test.cpp
+++ b/test/io/adaptive_timeout_test.cpp
@@ -15,8 +15,9 @@
 
         SUBCASE("a store that answers in milliseconds is not waited for long")
         {
-            // The store lost a third of its answers. Each turn that met one stood still for 0.4 s
-            // before the call was made again, longer than the engines needed for the whole answer.
+            // Guards against a long fixed timeout. When the store lost a third of its responses,
+            // each affected turn stalled for 0.4 s before the retry, longer than the engines needed
+            // for the whole answer.
             CHECK(patience.timeout() == milliseconds(120));
         }
         SUBCASE("a store that turns slow is not asked twice for everything")
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -24,7 +24,7 @@
                                         client_limits(), std::move(*book));
 }
 
-/// \brief A daemon as far as it canBorrow and lends.
+/// \brief A daemon reduced to borrowing and lending.
 struct lending_host
 {
     lending_host(asio::io_context &context, row_store &rows, const std::string &name,
@@ -36,7 +36,7 @@
         self.serving = true;
         self.storeReachable = true;
         const std::uint16_t port = exchange.start({"127.0.0.1", 0});
-        // Daemons find each other's port from the one of their messages on members.
+        // Daemons derive each other's lending port from the gossip port.
         self.gossip = {"127.0.0.1", static_cast<std::uint16_t>(port - 1)};
         exchange.setRoutes(routesWith({1000, 1000}));
     }
@@ -58,7 +58,7 @@
     }
     lending_host &host(std::size_t i) { return *hosts[hosts.size() - 3 + i]; }
 
-    /// \brief Tells host \p i of all hosts, the others with \p incarnation.
+    /// \brief Sets the members that host \p i sees: all hosts, the others with \p incarnation.
     void setMembersOf(std::size_t i, std::int64_t incarnation)
     {
         std::vector<member_state> others;
@@ -96,7 +96,7 @@
         return isLent;
     }
     bool allBorrow() { return canBorrow(0) && canBorrow(1) && canBorrow(2); }
-    /// \returns the daemon that the store names as the one that lends.
+    /// \returns the daemon that holds the account's row in the store, or an empty text.
     std::string holder()
     {
         const row_name name = quotaRowName(shardOf(account));
@@ -105,7 +105,7 @@
         return row && !row->isReleased ? row->holder.value : "";
     }
 
-    const paused_clock pause;
+    const paused_clock clock;
     asio::io_context context;
     row_store rows;
     std::vector<std::unique_ptr<lending_host>> hosts;
@@ -121,40 +121,41 @@
         w.setAllMembers(1);
         w.advance(seconds(1));
         CHECK(w.allBorrow());
-        const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
-        CHECK(w.holder() == wanted.value);
+        const daemon_id preferred = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
+        CHECK(w.holder() == preferred.value);
     }
 
     TEST_CASE("a row goes to the daemon that should hold it, and nobody waits")
     {
         lending_world w;
-        const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
-        const std::size_t other = wanted.value == "h0" ? 1 : 0;
+        const daemon_id preferred = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
+        const std::size_t other = preferred.value == "h0" ? 1 : 0;
         w.host(other).exchange.setMembers(w.host(other).self, {});
         w.advance(seconds(1));
         REQUIRE(w.holder() == w.host(other).self.name.value);
         w.setAllMembers(1);
         w.advance(seconds(1));
-        // The one that should hold it has looked by now, and must leave it to one that lives.
+        // The preferred holder has polled the row by now, and must leave it to its live holder.
         CHECK(w.holder() == w.host(other).self.name.value);
         for (int i = 0; i < 10; ++i) {
             CHECK(w.allBorrow());
             w.advance(milliseconds(500));
         }
-        CHECK(w.holder() == wanted.value);
+        CHECK(w.holder() == preferred.value);
     }
 
-    // Guards against rows that nobody takes, since their holder's name is alive in its next run.
+    // Guards against rows that no daemon acquires, because a daemon with the name of their holder
+    // is alive in a later run.
     TEST_CASE("after a restart of all daemons credits are lent again")
     {
         lending_world w;
-        const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
-        const std::size_t other = wanted.value == "h0" ? 1 : 0;
+        const daemon_id preferred = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
+        const std::size_t other = preferred.value == "h0" ? 1 : 0;
         w.host(other).exchange.setMembers(w.host(other).self, {});
         w.advance(seconds(1));
         REQUIRE(w.holder() == w.host(other).self.name.value);
         w.startAll(2);
-        // The first words of the others are those of their runs before.
+        // The first states seen of the others are those of their previous runs.
         w.setAllMembers(1);
         w.advance(milliseconds(300));
         w.setAllMembers(2);
@@ -180,7 +181,7 @@
         }
     }
 
-    // Guards against a lender that is kept from answering by the same requests asked again.
+    // Guards against a lender that is overloaded by retransmissions of the same requests.
     TEST_CASE("a lender that does not answer is asked less and less often")
     {
         lending_world w;
@@ -195,16 +196,16 @@
         lender.gossip = endpoint{"127.0.0.1", std::uint16_t(silent.local_endpoint().port() - 1)};
         w.host(0).exchange.setMembers(w.host(0).self, {lender});
         CHECK_FALSE(w.canBorrow(0));
-        int asked = 0;
+        int requestCount = 0;
         std::string text(4096, '\0');
         boost::system::error_code code;
         while (silent.receive(asio::buffer(text), 0, code) > 0 && !code) {
             const auto message = decodeQuotaMessage(std::string_view(text.c_str()));
-            asked += message && std::holds_alternative<credit_request>(*message) ? 1 : 0;
+            requestCount += message && std::holds_alternative<credit_request>(*message) ? 1 : 0;
             text.assign(text.size(), '\0');
         }
-        CHECK(asked >= 2);
-        CHECK(asked <= 7);
+        CHECK(requestCount >= 2);
+        CHECK(requestCount <= 7);
     }
 
     TEST_CASE("when the holder is gone another daemon lends")
@@ -213,21 +214,21 @@
         w.setAllMembers(1);
         w.advance(seconds(4));
         REQUIRE(w.allBorrow());
-        const std::string gone = w.holder();
+        const std::string deadHolder = w.holder();
         for (std::size_t i = 0; i < 3; ++i) {
             std::vector<member_state> others;
             for (std::size_t k = 0; k < 3; ++k) {
-                if (k != i && w.host(k).self.name.value != gone)
+                if (k != i && w.host(k).self.name.value != deadHolder)
                     others.push_back(w.host(k).self);
             }
             w.host(i).exchange.setMembers(w.host(i).self, std::move(others));
         }
         w.advance(seconds(1));
         for (std::size_t i = 0; i < 3; ++i) {
-            if (w.host(i).self.name.value != gone)
+            if (w.host(i).self.name.value != deadHolder)
                 CHECK(w.canBorrow(i));
         }
-        CHECK(w.holder() != gone);
+        CHECK(w.holder() != deadHolder);
     }
 }
 
--- a/test/io/loopback.h
+++ b/test/io/loopback.h
@@ -37,8 +37,8 @@
         std::rethrow_exception(failure);
 }
 
-/// \brief Runs \p body on a paused clock, which moves on by \p step whenever nothing else is to be
-/// done. A timer sees the clock move within a millisecond of real time.
+/// \brief Runs \p body on a paused clock, which advances by \p step whenever no work is left.
+/// Timers notice the advance within a millisecond of real time.
 inline void runInSteps(asio::io_context &context, awaitable<void> body, duration step)
 {
     bool done = false;
@@ -57,13 +57,13 @@
         std::rethrow_exception(failure);
 }
 
-/// \brief Lets everything else that is ready go on.
+/// \brief Yields to all other handlers that are ready.
 inline awaitable<void> yieldOnce()
 {
     co_await asio::post(co_await asio::this_coro::executor, use_awaitable);
 }
 
-/// \brief Moves the paused clock on in steps until \p done is set.
+/// \brief Advances the paused clock in steps until \p done is set.
 inline awaitable<void> advanceUntil(const bool &done, duration step)
 {
     while (!done) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// \brief Sends bytes as they are and shows those that come back.
+/// \brief TCP client that sends and receives raw bytes.
 class raw_client
 {
 public:
@@ -90,36 +90,36 @@
                                    asio::redirect_error(use_awaitable, code));
         co_return !code;
     }
-    /// \returns all bytes up to the end of the connection.
+    /// \returns all bytes up to the end of the stream.
     awaitable<std::string> readToEnd()
     {
         std::string all;
         while (true) {
-            const std::string piece = co_await readSome();
-            if (piece.empty())
+            const std::string chunk = co_await readSome();
+            if (chunk.empty())
                 co_return all;
-            all += piece;
+            all += chunk;
         }
     }
-    /// \returns the next bytes, or nothing at the end.
+    /// \returns the next bytes, or an empty text at the end of the stream.
     awaitable<std::string> readSome()
     {
-        std::string piece(4096, '\0');
+        std::string chunk(4096, '\0');
         boost::system::error_code code;
         const std::size_t n = co_await m_socket.async_read_some(
-            asio::buffer(piece), asio::redirect_error(use_awaitable, code));
-        piece.resize(n);
-        co_return piece;
+            asio::buffer(chunk), asio::redirect_error(use_awaitable, code));
+        chunk.resize(n);
+        co_return chunk;
     }
-    /// \returns what has come once \p text is among it.
+    /// \returns the bytes received up to and including the read that completes \p text.
     awaitable<std::string> readUntil(std::string text)
     {
         std::string all;
         while (all.find(text) == std::string::npos) {
-            const std::string piece = co_await readSome();
-            if (piece.empty())
+            const std::string chunk = co_await readSome();
+            if (chunk.empty())
                 break;
-            all += piece;
+            all += chunk;
         }
         co_return all;
     }
@@ -130,7 +130,7 @@
     asio::ip::tcp::socket m_socket;
 };
 
-/// \brief Sends \p bytes on a connection of its own. \returns all that comes back.
+/// \brief Sends \p bytes on a new connection. \returns all bytes received.
 inline awaitable<std::string> exchangeRaw(asio::io_context &context, std::uint16_t port,
                                           std::string bytes)
 {
--- a/test/io/member_list_test.cpp
+++ b/test/io/member_list_test.cpp
@@ -102,7 +102,7 @@
 
     TEST_CASE("a member that the store names counts as alive once it is heard of")
     {
-        // A row outlives a host that lost its power.
+        // The row of a host that lost power stays in the store.
         member_list list;
         list.onStoredMember(state("a", 3, 1), at(0));
         CHECK(list.alive().empty());
@@ -142,11 +142,11 @@
         }
         SUBCASE("what was told unasked gets no answer that asks: two would go on for ever")
         {
-            probe_message told = from("a", 1, 1, probe_kind::Ack);
-            told.sequence = 0;
-            CHECK(daemon.onMessage(told, peer, at(0)).empty());
-            told.requestsState = true;
-            const auto out = daemon.onMessage(told, peer, at(0));
+            probe_message unsolicited = from("a", 1, 1, probe_kind::Ack);
+            unsolicited.sequence = 0;
+            CHECK(daemon.onMessage(unsolicited, peer, at(0)).empty());
+            unsolicited.requestsState = true;
+            const auto out = daemon.onMessage(unsolicited, peer, at(0));
             REQUIRE(out.size() == 1);
             CHECK_FALSE(out.front().message.requestsState);
             CHECK(out.front().message.updates.back().state.name.value == "self");
@@ -154,14 +154,14 @@
         SUBCASE("it denies that it is gone, and tells another that it is held for gone")
         {
             daemon.onMessage(pingWithState(state("a")), peer, at(0));
-            probe_message rumour = from("a", 1, 1);
-            rumour.updates.push_back({daemon.self(), member_health::Dead});
+            probe_message deathReport = from("a", 1, 1);
+            deathReport.updates.push_back({daemon.self(), member_health::Dead});
             const std::uint64_t before = daemon.self().version;
-            daemon.onMessage(rumour, peer, at(10));
+            daemon.onMessage(deathReport, peer, at(10));
             CHECK(daemon.self().version == before + 1);
-            probe_message doubt = from("b", 1, 1);
-            doubt.updates.push_back({state("a"), member_health::Suspect});
-            daemon.onMessage(doubt, peer, at(20));
+            probe_message suspicion = from("b", 1, 1);
+            suspicion.updates.push_back({state("a"), member_health::Suspect});
+            daemon.onMessage(suspicion, peer, at(20));
             const auto out = daemon.onMessage(from("a", 1, 1), peer, at(30));
             REQUIRE(out.size() == 1);
             const member_update &last = out.front().message.updates.back();
@@ -172,11 +172,11 @@
         {
             probe_message request = from("a", 1, 1, probe_kind::IndirectPing);
             request.target = endpoint{"10.0.0.9", 3};
-            const auto asked = daemon.onMessage(request, peer, at(0));
-            REQUIRE(!asked.empty());
-            CHECK(asked.front().to == *request.target);
+            const auto forwarded = daemon.onMessage(request, peer, at(0));
+            REQUIRE(!forwarded.empty());
+            CHECK(forwarded.front().to == *request.target);
             probe_message answer = from("c", 1, 1, probe_kind::Ack);
-            answer.sequence = asked.front().message.sequence;
+            answer.sequence = forwarded.front().message.sequence;
             const auto passed = daemon.onMessage(answer, *request.target, at(5));
             REQUIRE(!passed.empty());
             CHECK(passed.front().to == peer);
@@ -186,7 +186,8 @@
 
     TEST_CASE("a daemon whose clock went back before it started again is heard all the same")
     {
-        // The others hold its earlier run for the later one, and all that the new one says for old.
+        // Without a larger incarnation, the others would discard the updates of the new run as
+        // older than those of the previous run.
         membership_protocol daemon(state("self", 1000), 1);
         daemon.onStoredMember(state("self", 5000), at(0));
         CHECK(daemon.self().incarnation == 5001);
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -120,9 +120,9 @@
         push(m_now + latency(), {target, from, datagram.message, false});
 }
 
-void membership_replay::count(int holder, const std::vector<member_change> &changes)
+void membership_replay::count(int observer, const std::vector<member_change> &changes)
 {
-    if (holder == m_ignoredObserver)
+    if (observer == m_ignoredObserver)
         return;
     for (const member_change &c : changes) {
         const bool hasRun = !m_everStopped.contains(indexOf(c.member.gossip));
@@ -181,8 +181,8 @@
 void membership_replay::pollTable(int daemon)
 {
     table_cache &copy = m_copies[std::size_t(daemon)];
-    const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
-    if (isReadDue(m_turns, copy.age(m_now), chance) && !m_withoutStore.contains(daemon)) {
+    const double randomFraction = std::uniform_real_distribution<double>(0, 1)(m_random);
+    if (isReadDue(m_turns, copy.age(m_now), randomFraction) && !m_withoutStore.contains(daemon)) {
         ++tableReads;
         copy.onRead(tablePage(), m_now);
     }
@@ -191,12 +191,13 @@
 
 void membership_replay::onDigests(int daemon)
 {
-    for (const peer_digest &news : m_daemons[std::size_t(daemon)].takeDigests()) {
+    for (const peer_digest &received : m_daemons[std::size_t(daemon)].takeDigests()) {
         if (m_copies.empty())
             return;
-        const int other = news.peer.port;
+        const int other = received.peer.port;
         table_cache &copy = m_copies[std::size_t(daemon)];
-        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
+        const bool isBehind
+            = copy.onDigest(received.digest, received.askedAt) == digest_verdict::Behind;
         const bool isReached = !m_stopped.contains(other) && !m_cutLinks.contains({daemon, other});
         if (isBehind && isReached) {
             const table_cache &theirs = m_copies[std::size_t(other)];
--- a/test/io/membership_replay.h
+++ b/test/io/membership_replay.h
@@ -10,64 +10,65 @@
 
 namespace azurehill::test {
 
-/// \brief Daemons that tell each other who lives, over links of a few milliseconds, in a time of
-/// the test's own.
+/// \brief Discrete-event simulation of daemons that run the membership protocol, over links with a
+/// latency of a few milliseconds, in simulated time.
 class membership_replay
 {
 public:
     static constexpr duration round = membership_protocol::round;
 
-    /// \brief What the daemons know of each other at the beginning.
+    /// \brief What the daemons know of each other at the start.
     enum class start {
-        /// All start at once, and have read each other's rows.
+        /// All daemons start at once, and have read each other's rows.
         Rows,
-        /// All run, and have heard of each other.
+        /// All daemons run, and regard each other as alive.
         Joined,
     };
 
     explicit membership_replay(int size, start how = start::Rows);
 
-    /// \brief Lets \p time pass.
+    /// \brief Runs the simulation for \p time.
     void advance(duration time);
-    /// \brief The daemon does and hears nothing from now on, until unfreeze().
+    /// \brief Freezes the daemon: it neither runs nor receives anything until unfreeze().
     void stop(int daemon);
-    /// \brief The daemon goes on; what was sent to it meanwhile arrives now.
+    /// \brief Unfreezes the daemon; the messages sent to it meanwhile arrive now.
     void unfreeze(int daemon);
-    /// \brief Datagrams from \p from to \p to are lost from now on.
+    /// \brief Drops all further datagrams from \p from to \p to.
     void cut(int from, int to) { m_cutLinks.insert({from, to}); }
-    /// \brief What \p daemon holds of the others counts for nothing: it can't know.
+    /// \brief Excludes the view of \p daemon from \c falseDeaths, as that of a daemon that is cut
+    /// off.
     void ignoreViewOf(int daemon) { m_ignoredObserver = daemon; }
-    /// \brief Lets links work again.
+    /// \brief Restores all links that were cut.
     void restoreLinks() { m_cutLinks.clear(); }
-    /// \brief This share of all datagrams is lost from now on.
-    void setLossRate(double share) { m_lossRate = share; }
+    /// \brief Drops this fraction of all further datagrams.
+    void setLossRate(double fraction) { m_lossRate = fraction; }
 
-    /// \brief Has all daemons follow a table of the store from now on.
-    /// \param bound the time within which each must act on a change.
+    /// \brief Makes all daemons follow a table of the store.
+    /// \param bound time within which each daemon must see a change.
     void followTable(duration bound);
-    /// \brief Another daemon than before has a row in the table.
+    /// \brief Adds a row to the table, and removes the oldest if there are more than three.
     void changeTable();
-    /// \brief The daemon's reads fail from now on.
+    /// \brief Makes all further reads of the daemon fail.
     void cutStore(int daemon) { m_withoutStore.insert(daemon); }
-    /// \brief All daemons reach the store again.
+    /// \brief Restores access to the store for all daemons.
     void restoreStore() { m_withoutStore.clear(); }
-    /// \returns how many running daemons have another table than the store's.
+    /// \returns how many running daemons have a copy that differs from the store's table.
     int daemonsBehind() const;
-    /// \returns the age of the oldest copy of a running daemon.
+    /// \returns the age of the oldest copy among the running daemons.
     duration oldestCopy() const;
 
-    /// \returns how many of the running daemons hold \p daemon for alive.
+    /// \returns how many of the other running daemons regard \p daemon as alive.
     int countSeeingAlive(int daemon) const;
-    /// \returns whether each running daemon holds exactly the running ones for alive.
+    /// \returns whether each running daemon regards exactly the running daemons as alive.
     bool isAgreed() const;
 
-    /// Times that a daemon that never stopped was taken for gone by another.
+    /// How often a daemon declared one dead that was never stopped.
     int falseDeaths = 0;
-    /// Reads of the table that reached the store.
+    /// Table reads that reached the store.
     int tableReads = 0;
-    /// Whether the bytes that are sent are counted.
+    /// Whether sent bytes are counted.
     bool countsBytes = false;
-    /// Bytes sent meanwhile, with 28 of IP and UDP for each datagram.
+    /// Bytes sent while counting, including 28 bytes of IP and UDP headers per datagram.
     std::int64_t bytes = 0;
 
 private:
@@ -75,7 +76,7 @@
     {
         int daemon = 0;
         int from = -1;
-        /// Nothing for the daemon's own round, or its look at the table.
+        /// The received message; empty if the event is the daemon's own round or table poll.
         std::optional<probe_message> message;
         bool isTablePoll = false;
     };
@@ -87,14 +88,14 @@
     void onDigests(int daemon);
     row_page tablePage() const;
     void send(int from, const probe_datagram &datagram);
-    void count(int holder, const std::vector<member_change> &changes);
+    void count(int observer, const std::vector<member_change> &changes);
     duration latency();
 
     time_point m_now = time_point(seconds(1000));
     std::uint64_t m_lastNumber = 0;
     std::minstd_rand m_random{7};
     std::vector<membership_protocol> m_daemons;
-    /// By their time, then in the order in which they were made.
+    /// Ordered by time, then by creation.
     std::map<std::pair<time_point, std::uint64_t>, event> m_events;
     std::set<int> m_stopped;
     std::set<int> m_everStopped;
--- a/test/io/membership_replay_test.cpp
+++ b/test/io/membership_replay_test.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Time in which all daemons that start at once have heard of each other.
+/// Time within which daemons that start at once have discovered each other.
 constexpr duration startupBound = seconds(5);
-/// A death is known to all that run within this time.
+/// Time within which all running daemons know of a death.
 constexpr duration deathDetectionBound = milliseconds(1500);
-/// Bytes a second that a daemon may send to tell who lives, and what it wants of the engines.
+/// Bound of the gossip traffic per daemon.
 constexpr double maxBytesPerSecond = 6000;
 
 } // namespace
@@ -19,10 +19,11 @@
 {
     TEST_CASE("a calm time has no deaths, at a cost that does not grow with the number of daemons")
     {
-        // Places, rates and look-ups are divided by the number of daemons that live. With 295 that
-        // all lived, some 950 were taken for gone and as many for back in each second: the words of
-        // one daemon reached another now and then only, through forty states by chance a message,
-        // 2.4 to 2.6 s apart ("silent_ms":2412), and each daemon sent 185 KB a second for that.
+        // Guards against false deaths without a fault: slots, rates and polling are divided by the
+        // number of live daemons. With 295 live daemons and messages that carried the states of
+        // forty random members, the states of one daemon reached another only every 2.4 to 2.6 s
+        // ("silent_ms":2412). That caused some 950 false deaths and as many returns per second,
+        // while each daemon sent 185 KB a second.
         for (const int size : {30, 300}) {
             CAPTURE(size);
             membership_replay replay(size);
@@ -39,7 +40,7 @@
 
     TEST_CASE("a death is told to all within 1.5 s, whatever the number of daemons")
     {
-        // Callers are sent to a host that lost its power until all know of it.
+        // Callers are directed to a host that lost power until all daemons know of its death.
         for (const int size : {3, 30, 300, 1800}) {
             CAPTURE(size);
             membership_replay replay(size, membership_replay::start::Joined);
@@ -53,8 +54,8 @@
 
     TEST_CASE("half of the daemons stop at one moment")
     {
-        // A data centre and more lose power. The others take no living one for gone, though half of
-        // the daemons that they ask to ping for them don't answer either.
+        // More than one data centre loses power. The others must not declare a live daemon dead,
+        // although half of the daemons that they ask for indirect probes don't answer either.
         membership_replay replay(300);
         replay.advance(startupBound);
         for (int i = 0; i < 300; i += 2)
@@ -65,8 +66,8 @@
 
         SUBCASE("and wake after some seconds")
         {
-            // What they had asked before they stopped was not answered to them: they must not take
-            // that for a sign that the others are gone.
+            // Their pings from before the freeze are unanswered, which must not count as a failure
+            // of the others.
             for (int i = 0; i < 300; i += 2)
                 replay.unfreeze(i);
             replay.advance(seconds(6));
@@ -86,8 +87,8 @@
 
     TEST_CASE("links cut one way make nobody dead whom others reach")
     {
-        // One host can't reach a third of the others, which reach it: its pings are made through
-        // others, and a suspicion is denied.
+        // One host can't reach a third of the others, while these reach it. Its pings are sent
+        // indirectly, and a suspicion is refuted.
         membership_replay replay(60);
         replay.advance(startupBound);
         for (int other = 1; other < 60; other += 3)
@@ -99,9 +100,9 @@
 
     TEST_CASE("a daemon that hears nobody accuses nobody")
     {
-        // One host's datagrams go out and none come in. It suspected all others, by turns, and had
-        // each refute that to all: 29.7 KB a second at every daemon, and after the link was mended
-        // they had not agreed on who lives within four seconds.
+        // One host can send datagrams but receives none. It suspected all others in turn, and the
+        // refutation of each spread to all daemons: every daemon sent 29.7 KB a second, and four
+        // seconds after the links were restored the views still differed.
         constexpr int size = 300;
         membership_replay replay(size, membership_replay::start::Joined);
         replay.advance(seconds(2));
@@ -112,7 +113,7 @@
         replay.countsBytes = true;
         constexpr int seconds = 5;
         replay.advance(std::chrono::seconds(seconds));
-        // Only the host itself is held for gone, as nobody gets an answer from it.
+        // Only the host itself is declared dead, since it answers no ping.
         CHECK(replay.countSeeingAlive(0) == 0);
         CHECK(replay.falseDeaths == size - 1);
         CHECK(double(replay.bytes) / size / seconds <= maxBytesPerSecond);
@@ -141,7 +142,7 @@
 
     TEST_CASE("a daemon that pauses for a moment is not gone")
     {
-        // Small hosts stand still for some tenths of a second when they are short of processor.
+        // Small hosts pause for some tenths of a second when they are short of CPU time.
         membership_replay replay(60);
         replay.advance(startupBound);
         for (int i = 0; i < 20; ++i) {
--- a/test/io/replica_news_replay_test.cpp
+++ b/test/io/replica_news_replay_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Time within which each daemon must act on a change of the entries.
+/// Time within which each daemon must see a change of the replica table.
 constexpr duration bound = seconds(4);
-/// Reads a second of all daemons that the store is asked for at most, whatever their number: about
-/// twice what sixteen readers make.
+/// Bound of the table reads of all daemons together, whatever their number: about twice the rate of
+/// sixteen readers.
 constexpr double maxReadsPerSecond = 32;
 
 membership_replay runningReplay(int size)
@@ -26,9 +26,10 @@
 {
     TEST_CASE("a change is with all daemons in time, at reads that don't grow with their number")
     {
-        // Each daemon read all entries once a second: 295 daemons and 233 entries were 16 MB a
-        // second at the store, most of what a calm day read there, and forty times that at 1,800
-        // daemons.
+        // Guards against reads that grow with the number of daemons. When each daemon read the
+        // whole table once a second, 295 daemons and 233 entries caused 16 MB a second at the
+        // store, most of its read traffic under normal load; 1,800 daemons would cause forty times
+        // that.
         for (const int size : {3, 30, 300, 1800}) {
             CAPTURE(size);
             membership_replay replay = runningReplay(size);
