--- a/src/lending/credit_exchange.cpp
+++ b/src/lending/credit_exchange.cpp
@@ -93,7 +93,7 @@
         found->second->wakeUpTimer.cancel();
 }
 
-daemon_id credit_exchange::lenderOf(std::size_t shard) const
+daemon_id credit_exchange::presumedHolder(std::size_t shard) const
 {
     const auto known = m_holders.find(shard);
     const bool isKnown
@@ -103,7 +103,7 @@
 
 void credit_exchange::sendRequest(const credit_request &request)
 {
-    const daemon_id lender = lenderOf(shardOf(request.account));
+    const daemon_id lender = presumedHolder(shardOf(request.account));
     if (lender.empty())
         return;
     if (lender == m_view.self().name) {
@@ -165,7 +165,7 @@
 void credit_exchange::returnCredit(const account_id &account, const credit_id &id)
 {
     const credit_return message{id, account};
-    const daemon_id lender = lenderOf(shardOf(account));
+    const daemon_id lender = presumedHolder(shardOf(account));
     const member_state *const member = m_view.find(lender);
     if (lender == m_view.self().name)
         m_lender.onReturn(message);
--- a/src/lending/credit_exchange.h
+++ b/src/lending/credit_exchange.h
@@ -68,7 +68,7 @@
     /// \brief Sends \p request to the presumed holder of the account's quota row.
     void sendRequest(const credit_request &request);
     /// \returns the presumed holder of the quota row of \p shard.
-    daemon_id lenderOf(std::size_t shard) const;
+    daemon_id presumedHolder(std::size_t shard) const;
     /// \brief Makes one borrow request, with retransmissions.
     /// \param retryInterval time until the request is sent again; doubled with each transmission.
     awaitable<std::optional<borrow_result>>
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -174,7 +174,7 @@
         t.writes.push_back({name, encodeQuotaRow(row)});
         const auto version = co_await m_store.transact(std::move(t), sentAt + rowWriteTimeout);
         if (!version) {
-            again = onFailed(shard, state, version.error());
+            again = onWriteFailed(shard, state, version.error());
             continue;
         }
         state.version = *version;
@@ -189,19 +189,19 @@
     state.isWriting = false;
 }
 
-bool credit_lender::onFailed(std::size_t shard, shard_state &state, const store_error &error)
+bool credit_lender::onWriteFailed(std::size_t shard, shard_state &state, const store_error &error)
 {
     if (error.kind != store_error_kind::Conflict)
         return false;
     const stored_row *const found = findRow(error.current, quotaRowName(shard));
     if (found)
-        return onRow(shard, state, *found);
+        return onConflictingRow(shard, state, *found);
     state.version = 0;
     state.book.takeOver(std::nullopt, holder_state::Ended, runtime_clock::now());
     return true;
 }
 
-bool credit_lender::onRow(std::size_t shard, shard_state &state, const stored_row &found)
+bool credit_lender::onConflictingRow(std::size_t shard, shard_state &state, const stored_row &found)
 {
     const auto row = decodeQuotaRow(found.value);
     if (!row) {
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -61,9 +61,9 @@
     void acquireOrRenew(std::size_t shard);
     awaitable<void> write(std::size_t shard);
     /// \brief Handles \p error of a write. \returns whether to retry immediately.
-    bool onFailed(std::size_t shard, shard_state &state, const store_error &error);
+    bool onWriteFailed(std::size_t shard, shard_state &state, const store_error &error);
     /// \brief Handles a conflicting row in the store. \returns whether to retry immediately.
-    bool onRow(std::size_t shard, shard_state &state, const stored_row &found);
+    bool onConflictingRow(std::size_t shard, shard_state &state, const stored_row &found);
 
     asio::any_io_executor m_executor;
     store &m_store;
--- a/src/members/gossip_reports.cpp
+++ b/src/members/gossip_reports.cpp
@@ -26,17 +26,17 @@
 {
     std::vector<place_words> all;
     all.reserve(m_latest.size());
-    for (const auto &[member, heard] : m_latest)
-        all.push_back(heard.demand);
+    for (const auto &[member, latest] : m_latest)
+        all.push_back(latest.demand);
     return all;
 }
 
 std::vector<replica_words> gossip_reports::replicaReports() const
 {
     std::vector<replica_words> all;
-    for (const auto &[member, heard] : m_latest) {
-        if (!heard.replicas.empty())
-            all.push_back(heard.replicas);
+    for (const auto &[member, latest] : m_latest) {
+        if (!latest.replicas.empty())
+            all.push_back(latest.replicas);
     }
     return all;
 }
--- a/src/members/member_list.cpp
+++ b/src/members/member_list.cpp
@@ -54,10 +54,10 @@
     if (found == m_members.end())
         return false;
     entry &e = found->second;
-    member_state said;
-    said.incarnation = incarnation;
-    said.version = version;
-    const auto age = compareAge(said, e.update.state);
+    member_state senderState;
+    senderState.incarnation = incarnation;
+    senderState.version = version;
+    const auto age = compareAge(senderState, e.update.state);
     if (age == 0 && e.isOnlyInStore)
         set(e, {e.update, false, {}});
     return age <= 0;
--- a/src/members/peer_transport.h
+++ b/src/members/peer_transport.h
@@ -61,7 +61,7 @@
     time_point m_directFailedAt;
     /// When a direct call last succeeded.
     time_point m_directAnsweredAt;
-    /// First of the consecutive rate-limited direct responses, if the last one was rate-limited.
+    /// Time of the first of consecutive rate-limited direct responses, if the last one was such.
     std::optional<time_point> m_rateLimitedSince;
     time_point m_answeredAt = runtime_clock::now();
     std::string m_lastDirectFailure;
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -83,9 +83,9 @@
 {
     place_words reports;
     for (const auto &[service, value] : o) {
-        const place_word word{numberIn(value.at(0)), numberIn(value.at(1)), numberIn(value.at(2)),
-                              numberIn(value.at(3))};
-        reports.emplace(std::string(service), word);
+        const place_word report{numberIn(value.at(0)), numberIn(value.at(1)), numberIn(value.at(2)),
+                                numberIn(value.at(3))};
+        reports.emplace(std::string(service), report);
     }
     return reports;
 }
@@ -131,10 +131,10 @@
     m.requestsState = o.contains("a");
     if (const json::value *target = o.if_contains("t"))
         m.target = addressIn(*target);
-    if (const json::value *words = o.if_contains("w"))
-        m.demandReports = demandReportsIn(words->as_object());
-    if (const json::value *words = o.if_contains("f"))
-        m.replicaReports = replicaReportsIn(words->as_object());
+    if (const json::value *reports = o.if_contains("w"))
+        m.demandReports = demandReportsIn(reports->as_object());
+    if (const json::value *reports = o.if_contains("f"))
+        m.replicaReports = replicaReportsIn(reports->as_object());
     if (const json::value *replicas = o.if_contains("r"))
         m.replicas = digestIn(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
@@ -160,14 +160,14 @@
         o["t"] = toText(*message.target);
     if (!message.demandReports.empty()) {
         json::object reports;
-        for (const auto &[service, word] : message.demandReports)
-            reports[service] = encode(word);
+        for (const auto &[service, report] : message.demandReports)
+            reports[service] = encode(report);
         o["w"] = std::move(reports);
     }
     if (!message.replicaReports.empty()) {
         json::object reports;
-        for (const auto &[id, word] : message.replicaReports)
-            reports[id.value] = int(word);
+        for (const auto &[id, report] : message.replicaReports)
+            reports[id.value] = int(report);
         o["f"] = std::move(reports);
     }
     if (message.replicas)
