--- a/src/entry/answer_relay.cpp
+++ b/src/entry/answer_relay.cpp
@@ -26,17 +26,17 @@
 }
 
 /// \returns how a send ended whose answer was not relayed whole.
-send_end brokenEnd(const entry_call &call, bool clientOpen)
+send_outcome brokenEnd(const entry_call &call, bool clientOpen)
 {
     if (call.clientLeft() || !clientOpen || call.cut == cut_reason::TimeOver)
-        return send_end::Cancelled;
-    return call.cut == cut_reason::ReplicaSilent ? send_end::Silent : send_end::Broken;
+        return send_outcome::Cancelled;
+    return call.cut == cut_reason::ReplicaSilent ? send_outcome::Silent : send_outcome::Broken;
 }
 
 } // namespace
 
-answer_relay::answer_relay(upstream_sender &sender, replica_board &board, engine_places &places,
-                           own_answers &answers, entry_metrics &metrics)
+answer_relay::answer_relay(upstream_sender &sender, replica_load_balancer &board,
+                           engine_places &places, own_answers &answers, entry_metrics &metrics)
     : m_sender(sender), m_board(board), m_places(places), m_answers(answers), m_metrics(metrics)
 { }
 
@@ -74,7 +74,8 @@
     }
     if (open && isWhole)
         open = co_await writer.end();
-    m_sender.finish(*call, reply, open && isWhole ? send_end::Answered : brokenEnd(*call, open));
+    m_sender.finish(*call, reply,
+                    open && isWhole ? send_outcome::Answered : brokenEnd(*call, open));
 }
 
 awaitable<void> answer_relay::relayFailure(entry_call_ptr call, open_reply reply,
@@ -82,9 +83,9 @@
 {
     std::string body;
     const bool whole = co_await readBody(call, reply, body);
-    m_sender.finish(*call, reply, whole ? send_end::Answered : send_end::Broken);
+    m_sender.finish(*call, reply, whole ? send_outcome::Answered : send_outcome::Broken);
     if (!whole) {
-        const send_failure broken{send_end::Broken, "the answer broke off"};
+        const send_failure broken{send_outcome::Broken, "the answer broke off"};
         co_await m_answers.giveUp(call, broken, writer);
         co_return;
     }
@@ -164,7 +165,7 @@
     if (firstAt)
         notePace(*call, stream.events - eventsBefore, *firstAt);
     m_sender.finish(*call, reply,
-                    stream.isWhole ? send_end::Answered : brokenEnd(*call, stream.isOpen));
+                    stream.isWhole ? send_outcome::Answered : brokenEnd(*call, stream.isOpen));
 }
 
 } // namespace azurehill
--- a/src/entry/answer_relay.h
+++ b/src/entry/answer_relay.h
@@ -28,7 +28,7 @@
     /// breaks off can be asked of another replica.
     static constexpr std::size_t bufferedAnswer = 256U << 10U;
 
-    answer_relay(upstream_sender &sender, replica_board &board, engine_places &places,
+    answer_relay(upstream_sender &sender, replica_load_balancer &board, engine_places &places,
                  own_answers &answers, entry_metrics &metrics);
 
     /// \brief Reads the answer of \p reply into \p body, up to a little more than bufferedAnswer.
@@ -61,7 +61,7 @@
     void notePace(const entry_call &call, std::int64_t events, time_point firstAt);
 
     upstream_sender &m_sender;
-    replica_board &m_board;
+    replica_load_balancer &m_board;
     engine_places &m_places;
     own_answers &m_answers;
     entry_metrics &m_metrics;
--- a/src/entry/engine_places.cpp
+++ b/src/entry/engine_places.cpp
@@ -19,9 +19,9 @@
     return std::chrono::duration_cast<duration>(gatePatience * left);
 }
 
-gate_ticket ticketOf(const entry_call &call, const program_times &times)
+admission_request ticketOf(const entry_call &call, const program_timing &times)
 {
-    gate_ticket ticket;
+    admission_request ticket;
     ticket.rank = call.rank.order;
     ticket.continues = call.isLaterTurn;
     ticket.slack = call.request.programFinish.value_or(duration::max());
@@ -30,12 +30,12 @@
     ticket.slack = times.left.value_or(duration::zero());
     // An answer within twice the program's time still earns something.
     const bool isLost = times.left && times.aim && *times.left + *times.aim < duration::zero();
-    ticket.hope = isLost ? program_hope::Lost : program_hope::Late;
+    ticket.hope = isLost ? deadline_feasibility::Lost : deadline_feasibility::Late;
     return ticket;
 }
 
-void logPlace(const entry_call &call, const gate_ticket &ticket, const service_gate &gate,
-              bool granted, duration waited)
+void logPlace(const entry_call &call, const admission_request &ticket,
+              const concurrency_limiter &gate, bool granted, duration waited)
 {
     logDecision(granted ? log_event::PlaceGranted : log_event::PlaceNotGranted,
                 {{"request", call.request.id},
@@ -54,13 +54,14 @@
 }
 
 /// \returns what each daemon of \p others tells of \p service.
-std::vector<place_word> wordsOf(const std::vector<place_words> &others, const std::string &service)
+std::vector<concurrency_report> wordsOf(const std::vector<concurrency_reports> &others,
+                                        const std::string &service)
 {
-    std::vector<place_word> words;
+    std::vector<concurrency_report> words;
     words.reserve(others.size());
-    for (const place_words &one : others) {
+    for (const concurrency_reports &one : others) {
         const auto found = one.find(service);
-        words.push_back(found == one.end() ? place_word() : found->second);
+        words.push_back(found == one.end() ? concurrency_report() : found->second);
     }
     return words;
 }
@@ -78,19 +79,19 @@
         m_gates.try_emplace(service, m_mechanisms);
 }
 
-void engine_places::update(const replica_board &board, time_point now)
+void engine_places::update(const replica_load_balancer &board, time_point now)
 {
     for (auto &[name, gate] : m_gates) {
-        gate.setEngines({board.open(name, now), board.openSlots(name, now)});
+        gate.setEngineCapacity({board.open(name, now), board.availableSlots(name, now)});
         grant(gate);
     }
 }
 
-place_words engine_places::tell()
+concurrency_reports engine_places::tell()
 {
-    place_words all;
+    concurrency_reports all;
     for (auto &[name, gate] : m_gates) {
-        const place_word word = gate.tell();
+        const concurrency_report word = gate.tell();
         // A service that nobody uses here takes no room in the message.
         if (word.wanted > 0)
             all.emplace(name, word);
@@ -98,15 +99,15 @@
     return all;
 }
 
-void engine_places::hear(const std::vector<place_words> &heard, std::size_t others)
+void engine_places::hear(const std::vector<concurrency_reports> &heard, std::size_t others)
 {
     for (auto &[name, gate] : m_gates) {
-        const std::vector<place_word> words = wordsOf(heard, name);
+        const std::vector<concurrency_report> words = wordsOf(heard, name);
         gate.hear({words, others});
     }
 }
 
-void engine_places::grant(service_gate &gate)
+void engine_places::grant(concurrency_limiter &gate)
 {
     for (const std::uint64_t number : gate.take()) {
         const auto found = m_waiting.find(number);
@@ -117,13 +118,13 @@
     }
 }
 
-awaitable<bool> engine_places::enter(entry_call_ptr call, program_times times)
+awaitable<bool> engine_places::enter(entry_call_ptr call, program_timing times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
         co_return true;
-    service_gate &gate = found->second;
-    gate_ticket ticket = ticketOf(*call, times);
+    concurrency_limiter &gate = found->second;
+    admission_request ticket = ticketOf(*call, times);
     ticket.number = ++m_lastTicket;
     if (gate.enter(ticket)) {
         call->isInsideGate = true;
--- a/src/entry/engine_places.h
+++ b/src/entry/engine_places.h
@@ -12,7 +12,7 @@
 namespace azurehill {
 
 /// \brief Lets requests wait for a place at the engines of their service. Each service with engines
-/// has a service_gate. Used on the traffic thread.
+/// has a concurrency_limiter. Used on the traffic thread.
 class engine_places
 {
 public:
@@ -22,18 +22,18 @@
     /// \brief Makes a gate for \p service if it has none yet.
     void addService(const std::string &service);
     /// \brief Takes in how many replicas may take requests, and grants places that came free.
-    void update(const replica_board &board, time_point now);
+    void update(const replica_load_balancer &board, time_point now);
     /// \returns what this daemon tells the others of its places. Call it once for each round.
-    place_words tell();
+    concurrency_reports tell();
     /// \brief Takes in a round of what the other daemons told.
     /// \param heard the words of those that were heard lately.
     /// \param others the other daemons that live, heard ones included.
-    void hear(const std::vector<place_words> &heard, std::size_t others);
+    void hear(const std::vector<concurrency_reports> &heard, std::size_t others);
 
     /// \brief Waits for a place.
     /// \param times how the call's program stands, if it has an account.
     /// \returns whether the call has one now; always true for services without engines.
-    awaitable<bool> enter(entry_call_ptr call, program_times times);
+    awaitable<bool> enter(entry_call_ptr call, program_timing times);
     /// \brief Gives the call's place back, if it has one.
     void leave(entry_call &call);
     /// \brief An answer of \p service had its events \p msPerEvent apart.
@@ -48,12 +48,12 @@
         bool granted = false;
     };
 
-    void grant(service_gate &gate);
+    void grant(concurrency_limiter &gate);
 
     asio::any_io_executor m_executor;
     mechanism_set m_mechanisms;
     entry_metrics &m_metrics;
-    std::map<std::string, service_gate, std::less<>> m_gates;
+    std::map<std::string, concurrency_limiter, std::less<>> m_gates;
     std::map<std::uint64_t, std::shared_ptr<waiting_call>> m_waiting;
     std::uint64_t m_lastTicket = 0;
 };
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -111,12 +111,12 @@
     m_settings.seeds = settings.seeds;
 }
 
-void entry_control::setPlaceWords(place_words words)
+void entry_control::setPlaceWords(concurrency_reports words)
 {
     m_membership.setDemandReports(std::move(words));
 }
 
-void entry_control::setReplicaWords(replica_words words)
+void entry_control::setReplicaWords(replica_reports words)
 {
     m_membership.setReplicaReports(std::move(words));
 }
@@ -426,7 +426,7 @@
 void entry_control::publishPlaceWords() const
 {
     m_events.onPlaceWords(m_membership.demandReportsHeard());
-    std::vector<replica_words> heard = m_membership.replicaReportsHeard();
+    std::vector<replica_reports> heard = m_membership.replicaReportsHeard();
     if (!heard.empty() && m_events.onReplicaWords)
         m_events.onReplicaWords(std::move(heard));
 }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -8,7 +8,7 @@
 #include "platform/platform_store.h"
 #include "replicas/replicas.h"
 #include "routes/routes.h"
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 
 #include <functional>
 #include <memory>
@@ -26,9 +26,9 @@
     /// This daemon's word of itself and the others that live.
     std::function<void(member_state, std::vector<member_state>)> onMembers;
     /// What some of the other daemons that live told lately of their places at the engines.
-    std::function<void(std::vector<place_words>)> onPlaceWords;
+    std::function<void(std::vector<concurrency_reports>)> onPlaceWords;
     /// What some of the other daemons told lately of replicas; called where any did.
-    std::function<void(std::vector<replica_words>)> onReplicaWords;
+    std::function<void(std::vector<replica_reports>)> onReplicaWords;
 };
 
 /// \brief Where the control side of a daemon listens.
@@ -54,9 +54,9 @@
     /// \brief Takes the daemon's row out of the store, by \p latest at the latest.
     awaitable<void> unregister(time_point latest);
     /// \brief Takes in what this daemon tells the others of its places at the engines.
-    void setPlaceWords(place_words words);
+    void setPlaceWords(concurrency_reports words);
     /// \brief Takes in what this daemon tells the others of replicas.
-    void setReplicaWords(replica_words words);
+    void setReplicaWords(replica_reports words);
     /// \brief Takes over the bounds and times of new settings. Addresses stay as they are.
     void setSettings(const host_settings &settings);
     /// \returns what the daemon believes, for the metrics.
@@ -104,7 +104,7 @@
     gossip_socket m_gossip;
     route_book_ptr m_routes;
     replica_follower m_replicas;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     std::vector<endpoint> m_peersReachingStore;
     int m_aliveCount = 0;
     std::vector<member_state> m_publishedMembers;
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -81,7 +81,7 @@
                             && m_settings.mechanisms.has(mechanism::MergedWrites));
     spawn(m_executor, "watchOutages", m_store.watchOutages());
     spawn(m_executor, "sweep", sweep());
-    spawn(m_executor, "removeOldRows", removeOldRows());
+    spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
     return canLend ? m_server.listen(m_settings.clients) : std::uint16_t(0);
 }
@@ -124,11 +124,11 @@
     m_credits.setMembers(std::move(self), std::move(others));
 }
 
-awaitable<void> entry_service::removeOldRows()
+awaitable<void> entry_service::removeExpiredRows()
 {
     while (true) {
         co_await sleepFor(removalPause);
-        co_await m_ledger.removeOldRows();
+        co_await m_ledger.removeExpiredRows();
     }
 }
 
@@ -145,12 +145,12 @@
     }
 }
 
-void entry_service::setOtherPlaceWords(const std::vector<place_words> &heard)
+void entry_service::setOtherPlaceWords(const std::vector<concurrency_reports> &heard)
 {
     m_places.hear(heard, static_cast<std::size_t>(m_daemons - 1));
 }
 
-void entry_service::setOtherReplicaWords(const std::vector<replica_words> &heard)
+void entry_service::setOtherReplicaWords(const std::vector<replica_reports> &heard)
 {
     m_board.hear(heard, runtime_clock::now());
 }
@@ -316,13 +316,13 @@
         const bool whole = co_await m_relay.readBody(call, *reply, answer);
         if (!whole) {
             m_sender.finish(*call, *reply,
-                            call->clientLeft() ? send_end::Cancelled : send_end::Broken);
+                            call->clientLeft() ? send_outcome::Cancelled : send_outcome::Broken);
             ++call->sends;
             if (call->cut == cut_reason::AttemptTimeOver)
                 call->cut = cut_reason::None;
             if (mayRepeat(*call))
                 continue;
-            const send_failure broken{send_end::Broken, "the answer broke off"};
+            const send_failure broken{send_outcome::Broken, "the answer broke off"};
             co_await m_answers.giveUp(call, broken, writer);
             co_return;
         }
@@ -330,7 +330,7 @@
             co_await m_relay.relayRest(call, *reply, std::move(answer), writer);
             co_return;
         }
-        m_sender.finish(*call, *reply, send_end::Answered);
+        m_sender.finish(*call, *reply, send_outcome::Answered);
         http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
--- a/src/entry/entry_service.h
+++ b/src/entry/entry_service.h
@@ -33,16 +33,19 @@
     /// \brief Takes in this daemon's word of itself and the others that live.
     void setMembers(member_state self, std::vector<member_state> others);
     /// \brief Takes in what some of the other daemons told lately of their places at the engines.
-    void setOtherPlaceWords(const std::vector<place_words> &heard);
+    void setOtherPlaceWords(const std::vector<concurrency_reports> &heard);
     /// \brief Takes in what some of the other daemons told lately of replicas.
-    void setOtherReplicaWords(const std::vector<replica_words> &heard);
+    void setOtherReplicaWords(const std::vector<replica_reports> &heard);
     /// \brief Calls \p tell now and then with what this daemon tells of replicas.
-    void onReplicaWords(std::function<void(replica_words)> tell)
+    void onReplicaWords(std::function<void(replica_reports)> tell)
     {
         m_tellReplicaWords = std::move(tell);
     }
     /// \brief Calls \p tell now and then with what this daemon tells of its places.
-    void onPlaceWords(std::function<void(place_words)> tell) { m_tellPlaceWords = std::move(tell); }
+    void onPlaceWords(std::function<void(concurrency_reports)> tell)
+    {
+        m_tellPlaceWords = std::move(tell);
+    }
 
     /// \brief Gives up what only a daemon that goes on may hold, by \p latest at the latest.
     awaitable<void> release(time_point latest) { return m_credits.release(latest); }
@@ -60,7 +63,7 @@
     awaitable<void> servePlain(entry_call_ptr call, const http_request &request,
                                response_writer &writer);
     awaitable<void> sweep();
-    awaitable<void> removeOldRows();
+    awaitable<void> removeExpiredRows();
     void tellPlaceWords(time_point now);
 
     static bool mayRepeat(const entry_call &call);
@@ -76,7 +79,7 @@
     paced_store m_pacedStore;
     turn_ledger m_ledger;
     credit_exchange m_credits;
-    replica_board m_board;
+    replica_load_balancer m_board;
     upstream_sender m_sender;
     engine_places m_places;
     own_answers m_answers;
@@ -85,8 +88,8 @@
     http_server m_server;
     route_book_ptr m_routes;
     int m_daemons = 1;
-    std::function<void(place_words)> m_tellPlaceWords;
-    std::function<void(replica_words)> m_tellReplicaWords;
+    std::function<void(concurrency_reports)> m_tellPlaceWords;
+    std::function<void(replica_reports)> m_tellReplicaWords;
     time_point m_wordsToldAt;
 };
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -183,19 +183,19 @@
             service.setMembers(s, o);
         });
     };
-    events.onPlaceWords = [&](std::vector<place_words> others) {
+    events.onPlaceWords = [&](std::vector<concurrency_reports> others) {
         asio::post(trafficContext,
                    [&service, o = std::move(others)] { service.setOtherPlaceWords(o); });
     };
-    events.onReplicaWords = [&](std::vector<replica_words> others) {
+    events.onReplicaWords = [&](std::vector<replica_reports> others) {
         asio::post(trafficContext,
                    [&service, o = std::move(others)] { service.setOtherReplicaWords(o); });
     };
     entry_control control(controlContext, s, std::move(events));
-    service.onPlaceWords([&](place_words wanted) {
+    service.onPlaceWords([&](concurrency_reports wanted) {
         asio::post(controlContext, [&control, w = std::move(wanted)] { control.setPlaceWords(w); });
     });
-    service.onReplicaWords([&](replica_words seen) {
+    service.onReplicaWords([&](replica_reports seen) {
         asio::post(controlContext, [&control, w = std::move(seen)] { control.setReplicaWords(w); });
     });
     http_server metricsServer(controlContext.get_executor(), {},
--- a/src/entry/replica_follower.cpp
+++ b/src/entry/replica_follower.cpp
@@ -80,7 +80,7 @@
     // All may have started at once. The readers' number doubles with each look, and whoever hears
     // of a copy takes it.
     const int looks = m_looksWithout++;
-    const read_turns turns{m_turns.bound, m_turns.daemons >> std::min(looks, mostLooksWithout)};
+    const poll_schedule turns{m_turns.bound, m_turns.daemons >> std::min(looks, mostLooksWithout)};
     return looks >= mostLooksWithout || isReadDue(turns, duration::zero(), chance);
 }
 
@@ -163,7 +163,7 @@
 
 void replica_follower::onDigest(const peer_digest &news)
 {
-    const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
+    const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
     if (!isBehind || m_isTakingChanges)
         return;
     m_isTakingChanges = true;
@@ -271,14 +271,14 @@
     if (!known) {
         logDecision(
             log_event::ReplicaListed,
-            {{"replica", who.id.value}, {"born", who.bornUnixMs}, {"service", entry.service}});
+            {{"replica", who.id.value}, {"born", who.startedUnixMs}, {"service", entry.service}});
         return;
     }
     if (known->incarnation != who) {
         logDecision(log_event::ReplicaRestarted,
                     {{"replica", who.id.value},
-                     {"born", who.bornUnixMs},
-                     {"born_before", known->incarnation.bornUnixMs},
+                     {"born", who.startedUnixMs},
+                     {"born_before", known->incarnation.startedUnixMs},
                      {"was_draining", known->draining}});
     }
     const bool wasDraining = known->incarnation == who && known->draining;
--- a/src/entry/replica_follower.h
+++ b/src/entry/replica_follower.h
@@ -74,10 +74,10 @@
     receiver m_onReplicas;
     connection_pool m_pool;
     std::minstd_rand m_random;
-    read_turns m_turns;
+    poll_schedule m_turns;
     table_cache m_table;
     std::map<upstream_id, replica_entry> m_replicas;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     /// Lines on single replicas at the change that is being taken in.
     std::size_t m_toldReplicas = 0;
     bool m_hasReplicas = false;
--- a/src/entry/turn_exchange.cpp
+++ b/src/entry/turn_exchange.cpp
@@ -146,7 +146,7 @@
             break;
         reply = std::move(*next);
         if (reply.head.status != 200) {
-            m_sender.finish(*call, reply, send_end::Answered);
+            m_sender.finish(*call, reply, send_outcome::Answered);
             break;
         }
         co_await m_relay.relayMore(call, reply, stream, writer);
@@ -161,7 +161,7 @@
     const entry_call_ptr call = work->call;
     const std::int64_t used = end.events * tokensPerEvent(*call);
     if (std::holds_alternative<callers_history>(work->history)) {
-        if (!m_ledger.mayStayHeld(work->claim))
+        if (!m_ledger.mayKeepHold(work->claim))
             settle(*work, used);
         co_await writer.end();
         co_return;
@@ -248,7 +248,7 @@
 awaitable<bool> turn_exchange::takePlace(turn_work_ptr work, response_writer &writer)
 {
     const entry_call_ptr call = work->call;
-    const program_times times = m_ledger.timesOf(call->request.program);
+    const program_timing times = m_ledger.timingOf(call->request.program);
     const bool hasPlace = co_await m_places.enter(call, times);
     if (hasPlace) {
         m_metrics.onPhase(call->route->name, request_phase::Store,
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -31,28 +31,28 @@
 /// Least status of a failure of the replica's own.
 constexpr int leastFailure = 500;
 
-duration attemptTime(const entry_call &call, const replica_board &board, time_point now)
+duration attemptTime(const entry_call &call, const replica_load_balancer &board, time_point now)
 {
     const duration share = (call.deadline - now) / attemptsInTime;
-    const auto typical = board.typicalWait(call.service);
+    const auto typical = board.typicalFirstByteTime(call.service);
     const duration wanted = typical ? std::max<duration>(2 * *typical, leastAttemptTime) : share;
     return std::min(wanted, std::max<duration>(share, leastAttemptTime));
 }
 
-send_end endOf(const entry_call &call, const http_error &error)
+send_outcome endOf(const entry_call &call, const http_error &error)
 {
     switch (call.cut) {
     case cut_reason::ClientLeft:
     case cut_reason::TimeOver:
-        return send_end::Cancelled;
+        return send_outcome::Cancelled;
     case cut_reason::ReplicaSilent:
-        return send_end::Silent;
+        return send_outcome::Silent;
     case cut_reason::AttemptTimeOver:
-        return send_end::Broken;
+        return send_outcome::Broken;
     case cut_reason::None:
         break;
     }
-    return error.kind == http_error_kind::TimedOut ? send_end::Cancelled : send_end::Broken;
+    return error.kind == http_error_kind::TimedOut ? send_outcome::Cancelled : send_outcome::Broken;
 }
 
 } // namespace
@@ -69,8 +69,8 @@
     return wanted;
 }
 
-upstream_sender::upstream_sender(const asio::any_io_executor &executor, replica_board &board,
-                                 entry_metrics &metrics)
+upstream_sender::upstream_sender(const asio::any_io_executor &executor,
+                                 replica_load_balancer &board, entry_metrics &metrics)
     : m_executor(executor), m_board(board), m_metrics(metrics),
       m_pool(executor, maxIdle, maxIdlePerReplica)
 { }
@@ -80,7 +80,7 @@
     if (call.route->kind != route_kind::Stream)
         return false;
     const time_point heard = std::max(
-        {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastHeard(call.replica)});
+        {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastReceivedAt(call.replica)});
     return now - heard > std::max<duration>(silenceTime, 2 * call.route->eventGap);
 }
 
@@ -167,13 +167,15 @@
         const time_point until = std::min(call->deadline, call->sentAt + connectTime);
         const auto connected = co_await connection->connect(address, until);
         if (!connected) {
-            finish(*call, reply, call->clientLeft() ? send_end::Cancelled : send_end::Unreachable);
-            co_return tl::unexpected(send_failure{send_end::Unreachable, connected.error().detail});
+            finish(*call, reply,
+                   call->clientLeft() ? send_outcome::Cancelled : send_outcome::Unreachable);
+            co_return tl::unexpected(
+                send_failure{send_outcome::Unreachable, connected.error().detail});
         }
     }
     if (call->clientLeft()) {
-        finish(*call, reply, send_end::Cancelled);
-        co_return tl::unexpected(send_failure{send_end::Cancelled, "the client left"});
+        finish(*call, reply, send_outcome::Cancelled);
+        co_return tl::unexpected(send_failure{send_outcome::Cancelled, "the client left"});
     }
     const time_point now = runtime_clock::now();
     if (call->route->kind == route_kind::Idempotent)
@@ -202,8 +204,8 @@
     if (!head) {
         // Only a request of which no byte left did certainly not run.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
-        const send_end end
-            = didNotRun && !call->clientLeft() ? send_end::NotRun : endOf(*call, head.error());
+        const send_outcome end
+            = didNotRun && !call->clientLeft() ? send_outcome::NotRun : endOf(*call, head.error());
         if (!didNotRun)
             call->mayHaveRun = true;
         finish(*call, reply, end);
@@ -222,8 +224,8 @@
     if (kind == reply_kind::Foreign) {
         call->mayHaveRun = true;
         connection->close();
-        finish(*call, reply, send_end::Broken);
-        co_return tl::unexpected(send_failure{send_end::Broken, "not the replica's answer"});
+        finish(*call, reply, send_outcome::Broken);
+        co_return tl::unexpected(send_failure{send_outcome::Broken, "not the replica's answer"});
     }
     if (kind == reply_kind::WrongReplica)
         m_board.setLeaving(where.replica.incarnation);
@@ -233,52 +235,52 @@
         if (!piece || piece->empty())
             break;
     }
-    finish(*call, reply, send_end::NotRun);
-    co_return tl::unexpected(send_failure{send_end::NotRun, std::string(toName(kind))});
+    finish(*call, reply, send_outcome::NotRun);
+    co_return tl::unexpected(send_failure{send_outcome::NotRun, std::string(toName(kind))});
 }
 
-void upstream_sender::finish(entry_call &call, open_reply &reply, send_end end)
+void upstream_sender::finish(entry_call &call, open_reply &reply, send_outcome end)
 {
     const time_point now = runtime_clock::now();
-    if (end == send_end::Answered && reply.head.status >= leastFailure)
-        end = send_end::Failed;
+    if (end == send_outcome::Answered && reply.head.status >= leastFailure)
+        end = send_outcome::Failed;
     m_board.onDone(reply.where, end, now);
     call.connection = nullptr;
     call.attemptDeadline.reset();
     std::erase_if(m_underWay, [&](const entry_call_ptr &c) { return c.get() == &call; });
     // A connection to a process that is over is dead, and the next request on it would be cut off.
     const bool isOver = m_board.isReplaced(reply.where.replica.incarnation);
-    const bool isEnded
-        = end == send_end::Answered || end == send_end::Failed || end == send_end::NotRun;
+    const bool isEnded = end == send_outcome::Answered || end == send_outcome::Failed
+        || end == send_outcome::NotRun;
     const bool keep = !isOver && isEnded;
     if (keep)
         m_pool.give(reply.where.replica.address, std::move(*reply.connection), now);
     else
         reply.connection->close();
-    if (end == send_end::Unreachable || end == send_end::Silent)
+    if (end == send_outcome::Unreachable || end == send_outcome::Silent)
         m_pool.drop(reply.where.replica.address);
     m_metrics.onSend(toName(end));
-    logDecision(
-        log_event::SendEnded,
-        {{"request", call.request.id},
-         {"replica", reply.where.replica.incarnation.id.value},
-         {"end", std::string(toName(end))},
-         {"status",
-          std::int64_t(end == send_end::Answered || end == send_end::Failed ? reply.head.status
-                                                                            : 0)},
-         {"cut", std::string(toName(call.cut))},
-         {"ms", toMilliseconds(now - call.sentAt)}});
+    logDecision(log_event::SendEnded,
+                {{"request", call.request.id},
+                 {"replica", reply.where.replica.incarnation.id.value},
+                 {"end", std::string(toName(end))},
+                 {"status",
+                  std::int64_t(end == send_outcome::Answered || end == send_outcome::Failed
+                                   ? reply.head.status
+                                   : 0)},
+                 {"cut", std::string(toName(call.cut))},
+                 {"ms", toMilliseconds(now - call.sentAt)}});
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
 upstream_sender::open(entry_call_ptr call, placement_request &wanted, const http_request &original,
                       std::string body)
 {
-    send_failure last{send_end::Unreachable, "no replica may take requests"};
+    send_failure last{send_outcome::Unreachable, "no replica may take requests"};
     int refusals = 0;
     while (runtime_clock::now() < call->deadline && !call->clientLeft()) {
         if (!isStillAllowed(*call)) {
-            last = {send_end::NotRun, "the key or the route was taken away"};
+            last = {send_outcome::NotRun, "the key or the route was taken away"};
             break;
         }
         if (call->sends >= call->route->maxAttempts || refusals > maxRefusals)
@@ -292,7 +294,7 @@
         if (reply)
             co_return reply;
         last = reply.error();
-        if (last.end == send_end::NotRun || last.end == send_end::Unreachable) {
+        if (last.end == send_outcome::NotRun || last.end == send_outcome::Unreachable) {
             ++refusals;
             continue;
         }
@@ -320,7 +322,7 @@
         auto again = co_await sendOnce(call, broken, wanted, original, std::move(copy));
         if (again)
             co_return again;
-        hasEnded = again.error().end == send_end::Unreachable
+        hasEnded = again.error().end == send_outcome::Unreachable
             || !m_board.isListed(broken.replica.incarnation);
         if (!hasEnded)
             co_return again;
--- a/src/entry/upstream_sender.h
+++ b/src/entry/upstream_sender.h
@@ -20,7 +20,7 @@
 /// \brief Why no replica answered.
 struct send_failure
 {
-    send_end end = send_end::Unreachable;
+    send_outcome end = send_outcome::Unreachable;
     std::string detail;
 };
 
@@ -32,7 +32,7 @@
 class upstream_sender
 {
 public:
-    upstream_sender(const asio::any_io_executor &executor, replica_board &board,
+    upstream_sender(const asio::any_io_executor &executor, replica_load_balancer &board,
                     entry_metrics &metrics);
 
     /// \brief Sends \p call to replicas until one answers.
@@ -52,7 +52,7 @@
     resume(entry_call_ptr call, placement_request &wanted, placement broken,
            const http_request &original, std::string body);
     /// \brief The answer of \p reply is over. Its connection is kept if it can be.
-    void finish(entry_call &call, open_reply &reply, send_end end);
+    void finish(entry_call &call, open_reply &reply, send_outcome end);
 
     /// \brief Takes in the configuration in force, by which requests are judged once more before
     /// they go out.
@@ -83,7 +83,7 @@
     awaitable<void> connectToSilent(replica_incarnation who, endpoint address);
 
     asio::any_io_executor m_executor;
-    replica_board &m_board;
+    replica_load_balancer &m_board;
     entry_metrics &m_metrics;
     connection_pool m_pool;
     route_book_ptr m_routes;
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -2,7 +2,7 @@
 
 #include "lending/lender_view.h"
 #include "routes/routes.h"
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 #include "store/store.h"
 
 #include <array>
@@ -73,7 +73,7 @@
     /// Shards with accounts that have a quota.
     std::array<bool, quotaShards> m_hasQuotas{};
     std::map<std::size_t, shard_state> m_shards;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     bool m_isReleased = false;
 };
 
--- a/src/members/gossip_reports.cpp
+++ b/src/members/gossip_reports.cpp
@@ -10,8 +10,8 @@
 
 } // namespace
 
-void gossip_reports::onReports(const daemon_id &member, place_words demand, replica_words replicas,
-                               time_point now)
+void gossip_reports::onReports(const daemon_id &member, concurrency_reports demand,
+                               replica_reports replicas, time_point now)
 {
     m_latest[member] = {std::move(demand), std::move(replicas), now};
 }
@@ -22,18 +22,18 @@
                   [now](const auto &item) { return now - item.second.at > maxReportAge; });
 }
 
-std::vector<place_words> gossip_reports::demandReports() const
+std::vector<concurrency_reports> gossip_reports::demandReports() const
 {
-    std::vector<place_words> all;
+    std::vector<concurrency_reports> all;
     all.reserve(m_latest.size());
     for (const auto &[member, latest] : m_latest)
         all.push_back(latest.demand);
     return all;
 }
 
-std::vector<replica_words> gossip_reports::replicaReports() const
+std::vector<replica_reports> gossip_reports::replicaReports() const
 {
-    std::vector<replica_words> all;
+    std::vector<replica_reports> all;
     for (const auto &[member, latest] : m_latest) {
         if (!latest.replicas.empty())
             all.push_back(latest.replicas);
--- a/src/members/gossip_reports.h
+++ b/src/members/gossip_reports.h
@@ -2,7 +2,7 @@
 
 #include "core/core.h"
 #include "replicas/place_division.h"
-#include "replicas/replica_words.h"
+#include "replicas/replica_reports.h"
 
 #include <map>
 #include <vector>
@@ -18,20 +18,20 @@
 {
 public:
     /// \brief Stores the reports of \p member, in place of its earlier ones.
-    void onReports(const daemon_id &member, place_words demand, replica_words replicas,
+    void onReports(const daemon_id &member, concurrency_reports demand, replica_reports replicas,
                    time_point now);
     /// \brief Removes reports that are too old.
     void expire(time_point now);
     /// \returns the demand reports, one per daemon.
-    std::vector<place_words> demandReports() const;
+    std::vector<concurrency_reports> demandReports() const;
     /// \returns the replica reports that are not empty, one per daemon.
-    std::vector<replica_words> replicaReports() const;
+    std::vector<replica_reports> replicaReports() const;
 
 private:
     struct received_report
     {
-        place_words demand;
-        replica_words replicas;
+        concurrency_reports demand;
+        replica_reports replicas;
         time_point at;
     };
 
--- a/src/members/membership_protocol.h
+++ b/src/members/membership_protocol.h
@@ -50,9 +50,9 @@
     /// store.
     void setSelf(bool isServing, bool isStoreReachable);
     /// \brief Sets the reports of this daemon's demand for engine slots that its messages carry.
-    void setDemandReports(place_words reports) { m_demandReports = std::move(reports); }
+    void setDemandReports(concurrency_reports reports) { m_demandReports = std::move(reports); }
     /// \brief Sets the reports of replica health that this daemon's messages carry.
-    void setReplicaReports(replica_words reports) { m_replicaReports = std::move(reports); }
+    void setReplicaReports(replica_reports reports) { m_replicaReports = std::move(reports); }
 
     /// \brief Sets the digest of this daemon's copy of the replica table, with its age at \p now.
     void setReplicaDigest(const table_digest &digest, time_point now);
@@ -72,9 +72,12 @@
 
     const member_list &members() const { return m_members; }
     /// \returns recent reports of other daemons' demand for engine slots.
-    std::vector<place_words> demandReportsHeard() const { return m_gossipReports.demandReports(); }
+    std::vector<concurrency_reports> demandReportsHeard() const
+    {
+        return m_gossipReports.demandReports();
+    }
     /// \returns recent reports of other daemons on replica health.
-    std::vector<replica_words> replicaReportsHeard() const
+    std::vector<replica_reports> replicaReportsHeard() const
     {
         return m_gossipReports.replicaReports();
     }
@@ -124,8 +127,8 @@
     member_list m_members;
     update_queue m_updates;
     gossip_reports m_gossipReports;
-    place_words m_demandReports;
-    replica_words m_replicaReports;
+    concurrency_reports m_demandReports;
+    replica_reports m_replicaReports;
     std::optional<table_digest> m_replicas;
     /// When \c m_replicas was set; its age is relative to this time.
     time_point m_replicasAt;
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -36,7 +36,7 @@
     UpdateFields
 };
 
-json::value encode(const place_word &report)
+json::value encode(const concurrency_report &report)
 {
     json::array numbers;
     for (const double number : {report.wanted, report.inside, report.inflation, report.perReplica})
@@ -79,24 +79,24 @@
     return double(number) / hundredths;
 }
 
-place_words demandReportsIn(const json::object &o)
+concurrency_reports demandReportsIn(const json::object &o)
 {
-    place_words reports;
+    concurrency_reports reports;
     for (const auto &[service, value] : o) {
-        const place_word report{numberIn(value.at(0)), numberIn(value.at(1)), numberIn(value.at(2)),
-                                numberIn(value.at(3))};
+        const concurrency_report report{numberIn(value.at(0)), numberIn(value.at(1)),
+                                        numberIn(value.at(2)), numberIn(value.at(3))};
         reports.emplace(std::string(service), report);
     }
     return reports;
 }
 
-replica_words replicaReportsIn(const json::object &o)
+replica_reports replicaReportsIn(const json::object &o)
 {
-    if (o.size() > mostReplicaWords)
+    if (o.size() > maxReplicaReports)
         throw std::out_of_range("too many replica reports");
-    replica_words reports;
+    replica_reports reports;
     for (const auto &[id, value] : o)
-        reports.emplace(upstream_id{std::string(id)}, enumIn<replica_word>(value));
+        reports.emplace(upstream_id{std::string(id)}, enumIn<replica_report>(value));
     return reports;
 }
 
@@ -136,7 +136,7 @@
     if (const json::value *reports = o.if_contains("f"))
         m.replicaReports = replicaReportsIn(reports->as_object());
     if (const json::value *replicas = o.if_contains("r"))
-        m.replicas = digestIn(*replicas);
+        m.replicas = digestFromJson(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
         for (const json::value &update : updates->as_array())
             m.updates.push_back(updateIn(update));
--- a/src/members/probe_message.h
+++ b/src/members/probe_message.h
@@ -2,7 +2,7 @@
 
 #include "members/member_update.h"
 #include "replicas/place_division.h"
-#include "replicas/replica_words.h"
+#include "replicas/replica_reports.h"
 #include "rows/table_cache.h"
 
 namespace azurehill {
@@ -38,9 +38,9 @@
     std::optional<endpoint> target;
     /// The sender's demand at the engines of each service, and the load per replica that it
     /// considers right.
-    place_words demandReports;
+    concurrency_reports demandReports;
     /// The sender's observations of replicas that fail requests, or did so recently.
-    replica_words replicaReports;
+    replica_reports replicaReports;
     /// Digest of the sender's copy of the replica table. Only in the Ack of a Ping, since its
     /// receiver can bound the digest's age by the time of the Ping.
     std::optional<table_digest> replicas;
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -1,6 +1,6 @@
+#include "fake_store.h"
 #include "lending/lending.h"
 #include "loopback.h"
-#include "model_store.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <doctest/doctest.h>
@@ -41,7 +41,7 @@
         exchange.setRoutes(routesWith({1000, 1000}));
     }
 
-    model_store access;
+    fake_store access;
     credit_exchange exchange;
     member_state self;
 };
--- a/test/io/member_list_test.cpp
+++ b/test/io/member_list_test.cpp
@@ -215,7 +215,8 @@
         gossip_reports sample;
         sample.onReports({"a"}, {{"model", {1, 1, 0, 0}}}, {}, at(0));
         sample.onReports({"a"}, {{"model", {2, 2, 0, 0}}}, {}, at(100));
-        sample.onReports({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_word::Fails}}, at(900));
+        sample.onReports({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_report::Fails}},
+                         at(900));
         CHECK(sample.demandReports().size() == 2);
         CHECK(sample.demandReports().front().at("model").wanted == 2);
         sample.expire(at(1400));
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -197,7 +197,7 @@
         const int other = received.peer.port;
         table_cache &copy = m_copies[std::size_t(daemon)];
         const bool isBehind
-            = copy.onDigest(received.digest, received.askedAt) == digest_verdict::Behind;
+            = copy.onDigest(received.digest, received.askedAt) == digest_comparison::Behind;
         const bool isReached = !m_stopped.contains(other) && !m_cutLinks.contains({daemon, other});
         if (isBehind && isReached) {
             const table_cache &theirs = m_copies[std::size_t(other)];
--- a/test/io/membership_replay.h
+++ b/test/io/membership_replay.h
@@ -103,7 +103,7 @@
     std::set<std::pair<int, int>> m_cutLinks;
     double m_lossRate = 0;
     int m_ignoredObserver = -1;
-    read_turns m_turns;
+    poll_schedule m_turns;
     std::vector<table_cache> m_copies;
     std::set<int> m_withoutStore;
     std::vector<stored_row> m_table;
--- a/test/io/replica_follower_test.cpp
+++ b/test/io/replica_follower_test.cpp
@@ -1,6 +1,6 @@
 #include "entry/replica_follower.h"
+#include "fake_store.h"
 #include "loopback.h"
-#include "model_store.h"
 
 #include <doctest/doctest.h>
 
@@ -41,7 +41,7 @@
 
     peer_digest news() const { return {address, *follower.digest(), runtime_clock::now()}; }
 
-    model_store inner;
+    fake_store inner;
     replica_follower follower;
     http_server server;
     endpoint address;
@@ -159,7 +159,7 @@
         }
         SUBCASE("or all rows when the store has forgotten that")
         {
-            daemon.inner.historyIsGone = true;
+            daemon.inner.isHistoryGone = true;
             put(rows, "i-7", entryText(6));
             for (int i = 0; i < 3; ++i)
                 look();
