--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -118,7 +118,7 @@
 
 void entry_control::setReplicaWords(replica_reports words)
 {
-    m_membership.setReplicaWords(std::move(words));
+    m_membership.setReplicaReports(std::move(words));
 }
 
 entry_gauges entry_control::gauges() const
@@ -347,13 +347,14 @@
 {
     // After a start the store names daemons that were not heard of yet.
     const member_list &members = m_membership.members();
-    m_replicas.setDaemons(1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.known()));
+    m_replicas.setDaemons(
+        1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.knownCount()));
 }
 
 void entry_control::tellReplicas()
 {
     if (const auto digest = m_replicas.digest())
-        m_membership.setReplicas(*digest, runtime_clock::now());
+        m_membership.setReplicaDigest(*digest, runtime_clock::now());
 }
 
 void entry_control::onGossip(const probe_message &message, const endpoint &from)
@@ -441,7 +442,7 @@
         logMembers();
         // Before the store has named any member, the seeds are the only way to the others. They
         // name other hosts' inner addresses; all hosts use the same ports.
-        if (m_membership.members().known() == 0) {
+        if (m_membership.members().knownCount() == 0) {
             for (const endpoint &seed : m_settings.seeds) {
                 const probe_message message = m_membership.joinMessage();
                 m_gossip.send({seed.host, m_settings.gossip.port}, encodeProbe(message));
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-/// Rows that are held are written anew this often: an outage of the store then finds the most of
-/// their validity left.
+/// Interval at which held rows are renewed. It is short, so that most of their validity is left
+/// when an outage of the store begins.
 constexpr duration renewInterval = milliseconds(2500);
-constexpr duration lookPause = milliseconds(250);
-/// Pause between two tries of one row, and of one that another daemon holds as far as is known.
+constexpr duration maintenanceInterval = milliseconds(250);
+/// Minimum intervals between attempts to write a row, and to write one that a live other daemon was
+/// last seen to hold.
 constexpr duration retryInterval = milliseconds(40);
 constexpr duration foreignRowRetryInterval = milliseconds(500);
-/// A row is handed on to the daemon that should hold it after this long: members that come and go
-/// would otherwise move it about.
+/// Delay before a row is handed over to its preferred holder. It keeps flapping members from moving
+/// rows back and forth.
 constexpr duration handOverDelay = seconds(2);
-constexpr duration writeTime = milliseconds(700);
-/// Answers that show another state of the row than expected, after which a write is left.
-constexpr int mostTries = 4;
+constexpr duration rowWriteTimeout = milliseconds(700);
+/// Attempts to write a row before giving up, when each finds a conflicting version.
+constexpr int maxAttempts = 4;
 
 } // namespace
 
@@ -34,16 +35,16 @@
 void credit_lender::setRoutes(route_book_ptr routes)
 {
     m_routes = std::move(routes);
-    m_used.fill(false);
+    m_hasQuotas.fill(false);
     for (const auto &[name, rule] : m_routes->accounts().rules()) {
         if (rule.quota)
-            m_used.at(shardOf(name)) = true;
+            m_hasQuotas.at(shardOf(name)) = true;
     }
 }
 
 bool credit_lender::hasQuotas(std::size_t shard) const
 {
-    return m_used.at(shard);
+    return m_hasQuotas.at(shard);
 }
 
 credit_lender::shard_state &credit_lender::stateOf(std::size_t shard)
@@ -61,7 +62,7 @@
     const std::uint64_t number = request.id.number;
     const account_rule *const rule
         = m_routes ? m_routes->accounts().find(request.account) : nullptr;
-    // The asker may know a newer configuration than this daemon.
+    // The borrower may have a newer configuration than this daemon.
     if (!rule || m_isReleased)
         return std::nullopt;
     if (!rule->quota)
@@ -80,8 +81,9 @@
             return not_holder{number, preferred};
         return std::nullopt;
     }
-    const int most = mostCredits(*rule->quota, m_bound);
-    const lend_result result = state.book.lend(request.account, request.id, request.use, most, now);
+    const int quotaLimit = mostCredits(*rule->quota, m_bound);
+    const lend_result result
+        = state.book.lend(request.account, request.id, request.use, quotaLimit, now);
     switch (result.verdict) {
     case lend_verdict::Lent:
         return credit_lent{number};
@@ -104,7 +106,7 @@
 awaitable<void> credit_lender::maintain()
 {
     while (true) {
-        co_await sleepFor(lookPause);
+        co_await sleepFor(maintenanceInterval);
         const time_point now = runtime_clock::now();
         const bool isReady = m_routes && !m_view.self().name.empty() && !m_isReleased;
         for (std::size_t shard = 0; isReady && shard < quotaShards; ++shard) {
@@ -130,7 +132,7 @@
     if (state.notPreferredSince && now >= *state.notPreferredSince + handOverDelay
         && !state.isWriting) {
         state.isWriting = true;
-        spawn(m_executor, "handOnQuotaRow", handOver(shard, now + writeTime));
+        spawn(m_executor, "handOnQuotaRow", handOver(shard, now + rowWriteTimeout));
     } else if (now >= state.writtenAt + renewInterval) {
         acquireOrRenew(shard);
     }
@@ -138,17 +140,18 @@
 
 daemon_id credit_lender::holderOf(const shard_state &state) const
 {
-    const bool isHeld = state.others && m_view.stateOf(*state.others) == holder_state::Lives;
-    return isHeld ? state.others->holder : daemon_id();
+    const bool isHeld
+        = state.foreignRow && m_view.stateOf(*state.foreignRow) == holder_state::Lives;
+    return isHeld ? state.foreignRow->holder : daemon_id();
 }
 
 void credit_lender::acquireOrRenew(std::size_t shard)
 {
     shard_state &state = stateOf(shard);
     const time_point now = runtime_clock::now();
-    const duration pause = holderOf(state).empty() ? retryInterval : foreignRowRetryInterval;
+    const duration minInterval = holderOf(state).empty() ? retryInterval : foreignRowRetryInterval;
     const bool isKnown = m_routes && !m_view.self().name.empty();
-    if (!isKnown || state.isWriting || now < state.lastAttemptAt + pause || m_isReleased)
+    if (!isKnown || state.isWriting || now < state.lastAttemptAt + minInterval || m_isReleased)
         return;
     state.isWriting = true;
     state.lastAttemptAt = now;
@@ -160,22 +163,22 @@
     shard_state &state = stateOf(shard);
     const row_name name = quotaRowName(shard);
     bool again = true;
-    for (int i = 0; again && i < mostTries && !m_isReleased; ++i) {
+    for (int i = 0; again && i < maxAttempts && !m_isReleased; ++i) {
         const time_point sentAt = runtime_clock::now();
         const bool wasHeld = state.book.isHeld();
         const quota_row row = state.book.prepare(m_routes->accounts(), sentAt);
         store_transaction t;
-        // All requests of the row's accounts wait for it.
+        // All requests of the accounts of the shard wait for this write.
         t.urgency = write_urgency::End;
         t.conditions.push_back({name, state.version});
         t.writes.push_back({name, encodeQuotaRow(row)});
-        const auto version = co_await m_store.transact(std::move(t), sentAt + writeTime);
+        const auto version = co_await m_store.transact(std::move(t), sentAt + rowWriteTimeout);
         if (!version) {
-            again = onFailed(shard, state, version.error());
+            again = onWriteFailed(shard, state, version.error());
             continue;
         }
         state.version = *version;
-        state.others.reset();
+        state.foreignRow.reset();
         state.writtenAt = sentAt;
         state.book.onWritten(row, sentAt);
         again = false;
@@ -186,7 +189,7 @@
     state.isWriting = false;
 }
 
-bool credit_lender::onFailed(std::size_t shard, shard_state &state, const store_error &error)
+bool credit_lender::onWriteFailed(std::size_t shard, shard_state &state, const store_error &error)
 {
     if (error.kind != store_error_kind::Conflict)
         return false;
@@ -202,36 +205,36 @@
 {
     const auto row = decodeQuotaRow(found.value);
     if (!row) {
-        m_unreadable.logOnce(log_event::RowUnreadable, found, "not a row of quotas");
+        m_unreadable.logOnce(log_event::RowUnreadable, found, "malformed quota row");
         return false;
     }
     const member_state &self = m_view.self();
     const time_point now = runtime_clock::now();
     if (row->holder == self.name && row->incarnation == state.book.incarnation()
         && !row->isReleased) {
-        // An earlier write whose answer was lost.
+        // The row is from an earlier write by this daemon whose response was lost.
         state.version = found.version;
         return true;
     }
-    const holder_state fate = m_view.stateOf(*row);
-    const bool isAbandoned
-        = fate == holder_state::Ended || (fate == holder_state::Silent && m_view.isSettled(now));
+    const holder_state holderState = m_view.stateOf(*row);
+    const bool isAbandoned = holderState == holder_state::Ended
+        || (holderState == holder_state::Silent && m_view.isSettled(now));
     if (!isAbandoned) {
         if (state.book.isHeld())
             logDecision(log_event::QuotaLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
         state.book.onLost();
-        // Not the row's version: the next try has to find it changed, and judge it again.
+        // Not the row's version, so that the next attempt conflicts and examines the row again.
         state.version = 0;
-        state.others = *row;
+        state.foreignRow = *row;
         return false;
     }
     logDecision(log_event::QuotaTaken,
                 {{"shard", std::int64_t(shard)},
                  {"holder", row->holder.value},
-                 {"state", std::string(toName(fate))},
+                 {"state", std::string(toName(holderState))},
                  {"row_version", std::int64_t(found.version)}});
-    state.book.takeOver(*row, fate, now);
+    state.book.takeOver(*row, holderState, now);
     state.version = found.version;
     return true;
 }
@@ -245,7 +248,7 @@
     t.urgency = write_urgency::Begin;
     t.conditions.push_back({name, state.version});
     t.writes.push_back({name, encodeQuotaRow(row)});
-    // If it fails, the next holder takes this daemon for one that may still lend.
+    // If the write fails, the next holder has to assume that this daemon may still lend.
     const auto version = co_await m_store.transact(std::move(t), until);
     if (version)
         state.version = *version;
@@ -262,7 +265,7 @@
     m_isReleased = true;
     for (auto &[shard, state] : m_shards) {
         if (state.book.isHeld())
-            co_await handOver(shard, std::min(runtime_clock::now() + writeTime, latest));
+            co_await handOver(shard, std::min(runtime_clock::now() + rowWriteTimeout, latest));
     }
 }
 
--- a/src/members/adaptive_timeout.cpp
+++ b/src/members/adaptive_timeout.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-/// A store that is fifty times slower than usual answers in 200 ms, and in 400 ms where a write
-/// spans parts; pauses come on top.
-constexpr double mostMs = 700;
-/// Until answers have shown how long they take.
-constexpr double firstMs = 400;
+/// Upper bound. A store fifty times slower than usual responds within 200 ms, or within 400 ms to a
+/// write that spans partitions; the margin covers pauses of the store and the hosts.
+constexpr double maxTimeoutMs = 700;
+/// Used until \c minSamples responses have been measured.
+constexpr double initialTimeoutMs = 400;
 constexpr int minSamples = 8;
-/// Ten usual answers: the store and the hosts have pauses of some tens of milliseconds.
-constexpr double leastMs = 120;
-/// Weights of a new time, as for TCP's retransmission timeout (RFC 6298).
-constexpr double typicalWeight = 0.125;
+/// Lower bound, ten typical response times: the store and the hosts pause for some tens of
+/// milliseconds.
+constexpr double minTimeoutMs = 120;
+/// Weights of a new sample, as in RFC 6298.
+constexpr double meanWeight = 0.125;
 constexpr double deviationWeight = 0.25;
-constexpr double deviations = 4;
+constexpr double deviationFactor = 4;
 constexpr int maxDoublings = 3;
 
 } // namespace
 
-void adaptive_timeout::onAnswer(duration time)
+void adaptive_timeout::onResponse(duration time)
 {
     const double ms = std::chrono::duration<double, std::milli>(time).count();
-    if (m_answers == 0)
-        m_typical = ms;
-    m_deviation += deviationWeight * (std::abs(ms - m_typical) - m_deviation);
-    m_typical += typicalWeight * (ms - m_typical);
-    ++m_answers;
+    if (m_responseCount == 0)
+        m_meanMs = ms;
+    m_deviationMs += deviationWeight * (std::abs(ms - m_meanMs) - m_deviationMs);
+    m_meanMs += meanWeight * (ms - m_meanMs);
+    ++m_responseCount;
     m_consecutiveTimeouts = 0;
 }
 
@@ -39,12 +40,12 @@
     ++m_consecutiveTimeouts;
 }
 
-duration adaptive_timeout::wait() const
+duration adaptive_timeout::timeout() const
 {
-    double ms = firstMs;
-    if (m_answers >= minSamples)
-        ms = std::max(leastMs, m_typical + deviations * m_deviation);
-    ms = std::min(mostMs, std::ldexp(ms, std::min(m_consecutiveTimeouts, maxDoublings)));
+    double ms = initialTimeoutMs;
+    if (m_responseCount >= minSamples)
+        ms = std::max(minTimeoutMs, m_meanMs + deviationFactor * m_deviationMs);
+    ms = std::min(maxTimeoutMs, std::ldexp(ms, std::min(m_consecutiveTimeouts, maxDoublings)));
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
--- a/src/members/membership_protocol.cpp
+++ b/src/members/membership_protocol.cpp
@@ -6,32 +6,33 @@
 
 namespace {
 
-/// Members pinged in a round. With three, one in twenty rounds passes in which nobody pings a
-/// given member, whatever the number of daemons, and fifteen pings and as many answers a second
-/// stay under 6 KB.
+/// Members pinged per round. With three, a given member is pinged by no daemon in one round out of
+/// twenty, whatever the number of daemons; and fifteen pings and as many acks a second stay under
+/// 6 KB.
 constexpr std::size_t probesPerRound = 3;
-/// The same for the first rounds after a start, when nothing is known of the others.
+/// Members pinged per round in the first rounds after a start, when nothing is known of the others.
 constexpr std::size_t probesAtStart = 8;
 constexpr int startRounds = 10;
-/// Others that are asked to ping a member that did not answer: with one datagram in twenty lost,
-/// one suspicion in 10,000 unanswered pings is false.
+/// Members asked to ping a member that did not answer. With one datagram in twenty lost, one in
+/// 10,000 unanswered pings leads to a false suspicion.
 constexpr std::size_t indirectProbeCount = 3;
-/// Rounds without an answer after which others are asked, and after which a member is suspected.
-/// A host that pauses for one round loses nothing.
+/// Rounds without an ack until indirect probes are requested, and until the member is suspected.
+/// A host that pauses for one round is not suspected.
 constexpr int roundsUntilIndirect = 1;
 constexpr int roundsUntilSuspect = 2;
-/// A suspected member is gone after this time. News is everywhere in three to four rounds, and its
-/// denial on the way back in as many; but its callers wait for the news of its death meanwhile.
+/// Time until a suspected member is declared dead. An update reaches all daemons in three to four
+/// rounds, and the refutation takes as many to come back. A longer timeout would keep the callers
+/// of a dead member waiting.
 constexpr duration suspicionTimeout = milliseconds(600);
-/// News in one message: 130 bytes each, so that a message is under 4 KB also while hundreds of
-/// daemons start at once, and some 100 bytes in a calm time.
+/// At 130 bytes per update, a message stays under 4 KB even while hundreds of daemons start at
+/// once; without updates it has some 100 bytes.
 constexpr std::size_t maxUpdatesPerMessage = 28;
-/// Members that a daemon tells at once that it stops; these tell the others within two rounds.
+/// Members that a stopping daemon notifies directly; gossip reaches the others within two rounds.
 constexpr std::size_t leaveFanout = 40;
-/// A round that comes so late says that this daemon itself stood still.
+/// A longer interval between rounds means that this daemon itself was paused.
 constexpr duration lateRoundThreshold = 2 * membership_protocol::round;
-/// Without a message for so long a daemon takes itself for the one that is cut off: six and more
-/// come in a round otherwise, three answers and the pings of others.
+/// Without any message for this long, a daemon assumes that it is cut off itself: normally it
+/// receives at least six per round, three acks and the pings of others.
 constexpr duration isolationTimeout = 2 * membership_protocol::round;
 
 } // namespace
@@ -53,7 +54,7 @@
     m_updates.add(m_self.name);
 }
 
-void membership_protocol::setReplicas(const table_digest &digest, time_point now)
+void membership_protocol::setReplicaDigest(const table_digest &digest, time_point now)
 {
     m_replicas = digest;
     m_replicasAt = now;
@@ -89,8 +90,8 @@
     m.sender = m_self.name;
     m.incarnation = m_self.incarnation;
     m.version = m_self.version;
-    m.words = m_words;
-    m.replicaWords = m_replicaWords;
+    m.demandReports = m_demandReports;
+    m.replicaReports = m_replicaReports;
     return m;
 }
 
@@ -123,10 +124,10 @@
 
 std::vector<daemon_id> membership_protocol::nextTargets()
 {
-    const std::size_t wanted = m_rounds < startRounds ? probesAtStart : probesPerRound;
+    const std::size_t targetCount = m_rounds < startRounds ? probesAtStart : probesPerRound;
     std::vector<daemon_id> next;
     bool isRefilled = false;
-    while (next.size() < wanted) {
+    while (next.size() < targetCount) {
         if (m_targets.empty()) {
             if (isRefilled)
                 break;
@@ -146,23 +147,23 @@
     return next;
 }
 
-void membership_protocol::refute(const member_state &said)
+void membership_protocol::refute(const member_state &refuted)
 {
-    if (said.incarnation != m_self.incarnation || said.version < m_self.version)
+    if (refuted.incarnation != m_self.incarnation || refuted.version < m_self.version)
         return;
-    m_self.version = said.version + 1;
+    m_self.version = refuted.version + 1;
     m_updates.add(m_self.name);
 }
 
-void membership_protocol::learn(const member_update &news, time_point now)
+void membership_protocol::mergeUpdate(const member_update &update, time_point now)
 {
-    if (news.state.name == m_self.name) {
-        if (news.health != member_health::Alive)
-            refute(news.state);
+    if (update.state.name == m_self.name) {
+        if (update.health != member_health::Alive)
+            refute(update.state);
         return;
     }
-    if (m_members.apply(news, now + suspicionTimeout))
-        m_updates.add(news.state.name);
+    if (m_members.apply(update, now + suspicionTimeout))
+        m_updates.add(update.state.name);
 }
 
 bool membership_protocol::isIsolated(time_point now) const
@@ -175,11 +176,10 @@
     const auto *known = m_members.find(name);
     if (!known || !known->isHealthy())
         return;
-    const member_update news{known->update.state, member_health::Suspect};
-    m_members.apply(news, now + suspicionTimeout);
-    // A daemon that can still send but hears nobody would accuse all others, by turns and without
-    // an end, and each would have to refute it to all: 30 KB a second at each of 300 daemons
-    // (replay).
+    const member_update update{known->update.state, member_health::Suspect};
+    m_members.apply(update, now + suspicionTimeout);
+    // A daemon that can send but not receive would keep suspecting all others in turn, and each
+    // would have to refute that: 30 KB a second at each of 300 daemons in the replay test.
     if (!isIsolated(now))
         m_updates.add(name);
 }
@@ -229,23 +229,25 @@
         const endpoint to = m_members.find(name)->update.state.gossip;
         out.push_back({to, message(probe_kind::Ping, m_lastSequence)});
     }
-    // Silent ones may be back, or on the other side of a cut that is mended: one a round, and at a
-    // start as many as there would be others. They get no news, which would be lost with them.
-    const std::size_t wanted = m_rounds < startRounds ? probesAtStart - targets.size() : 1;
-    for (const member_state *m : pick(m_members.silent(), wanted))
+    // Unhealthy members may have recovered, or be reachable again after a network partition: one is
+    // pinged per round, and at start as many as fill up the round's probes. These pings carry no
+    // updates, whose transmissions would be wasted if the member is dead.
+    const std::size_t silentProbeCount
+        = m_rounds < startRounds ? probesAtStart - targets.size() : 1;
+    for (const member_state *m : pick(m_members.unhealthy(), silentProbeCount))
         out.push_back({m->gossip, messageWithoutUpdates(probe_kind::Ping, ++m_lastSequence)});
 }
 
 std::vector<probe_datagram> membership_protocol::onRound(time_point now)
 {
     std::vector<probe_datagram> out;
-    const duration pause = m_lastRound ? now - *m_lastRound : round;
+    const duration sinceLastRound = m_lastRound ? now - *m_lastRound : round;
     m_lastRound = now;
-    // A daemon that stood still finds all its pings unanswered, and its watch over suspected
-    // members run out: that says nothing of the others.
-    if (pause > lateRoundThreshold) {
+    // After a pause of this daemon, unanswered pings and expired suspicion timeouts say nothing
+    // about the other daemons.
+    if (sinceLastRound > lateRoundThreshold) {
         m_probes.clear();
-        m_members.extendSuspicions(pause);
+        m_members.extendSuspicions(sinceLastRound);
     }
     checkProbes(out, now);
     for (const daemon_id &name : m_members.expire(now)) {
@@ -262,7 +264,7 @@
 {
     const auto answered = m_probes.extract(m.sequence);
     const auto *sender = m_members.find(m.sender);
-    // An answer that came through another daemon has that one's digest, and was asked for later.
+    // The sender of a relayed ack is the relay: a digest would be the relay's, and requested later.
     const bool isDirect = answered && answered.mapped().target == m.sender;
     if (isDirect && m.replicas && sender)
         m_digests.push_back({sender->update.state.peers, *m.replicas, answered.mapped().sentAt});
@@ -276,26 +278,27 @@
                                                            const endpoint &from, time_point now)
 {
     std::vector<probe_datagram> out;
-    for (const member_update &news : m.updates)
-        learn(news, now);
+    for (const member_update &update : m.updates)
+        mergeUpdate(update, now);
     if (m.sender == m_self.name)
         return out;
     m_heardAt = now;
-    const bool isKnown = m_members.onHeard(m.sender, m.incarnation, m.version);
-    m_gossipReports.onHeard(m.sender, m.words, m.replicaWords, now);
+    const bool isKnown = m_members.onMessageFrom(m.sender, m.incarnation, m.version);
+    m_gossipReports.onReports(m.sender, m.demandReports, m.replicaReports, now);
     const auto *sender = m_members.find(m.sender);
-    const bool isDoubted = isKnown && !sender->isHealthy();
+    const bool isSuspected = isKnown && !sender->isHealthy();
     if (m.kind == probe_kind::IndirectPing && m.target) {
         m_relayed[++m_lastSequence] = {from, m.sequence};
         out.push_back({*m.target, messageWithoutUpdates(probe_kind::Ping, m_lastSequence)});
     }
     if (m.kind == probe_kind::Ack)
         onAck(m, out);
-    // What was told unasked is answered only if it asks, and that answer asks nothing: two daemons
-    // that doubt each other would otherwise send messages without an end.
+    // An unsolicited message is answered only if it requests this daemon's state, and the answer
+    // requests nothing: two daemons that suspect each other would otherwise exchange messages
+    // endlessly.
     const bool isUnsolicited = m.kind == probe_kind::Ack && m.sequence == 0;
-    const bool isNews = !isUnsolicited && (!isKnown || isDoubted);
-    if (m.kind != probe_kind::Ping && !m.requestsState && !isNews)
+    const bool needsAnswer = !isUnsolicited && (!isKnown || isSuspected);
+    if (m.kind != probe_kind::Ping && !m.requestsState && !needsAnswer)
         return out;
     probe_message answer = message(probe_kind::Ack, m.kind == probe_kind::Ping ? m.sequence : 0);
     answer.requestsState = !isKnown && !isUnsolicited;
@@ -303,8 +306,8 @@
         answer.replicas = replicasAt(now);
     if (m.requestsState)
         answer.updates.push_back({m_self, member_health::Alive});
-    // What others hold of the sender reaches it, so that it can refute it.
-    if (isDoubted)
+    // The sender has to learn that it is suspected in order to refute that.
+    if (isSuspected)
         answer.updates.push_back(sender->update);
     out.push_back({from, std::move(answer)});
     return out;
@@ -317,9 +320,9 @@
     m_updates.add(m_self.name);
     std::vector<probe_datagram> out;
     for (const member_state *m : pick(m_members.healthy(), leaveFanout)) {
-        probe_message told = message(probe_kind::Ack, 0);
-        told.updates.push_back({m_self, member_health::Alive});
-        out.push_back({m->gossip, std::move(told)});
+        probe_message notice = message(probe_kind::Ack, 0);
+        notice.updates.push_back({m_self, member_health::Alive});
+        out.push_back({m->gossip, std::move(notice)});
     }
     return out;
 }
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -14,12 +14,14 @@
 
 namespace {
 
-/// Words on places are told in hundredths, as whole numbers.
+/// Numbers in demand reports are encoded as integers, in hundredths.
 constexpr double hundredths = 100;
-/// Largest number in a word on places, in hundredths: far above what a daemon or a replica bears.
+/// Largest number in a demand report, in hundredths: far above the load that a daemon or a replica
+/// can handle.
 constexpr std::int64_t maxReportedHundredths = 10'000'000;
 
-/// Fields of an update, which is an array: thirty go in one message.
+/// Indices of the fields of an encoded update. It is an array, since a message carries up to
+/// thirty.
 enum update_field : std::size_t {
     Name,
     Incarnation,
@@ -34,10 +36,11 @@
     UpdateFields
 };
 
-json::value encode(const concurrency_report &word)
+json::value encode(const concurrency_report &report)
 {
     json::array numbers;
-    for (const double number : {word.demand, word.inFlight, word.inflation, word.limitPerReplica})
+    for (const double number :
+         {report.demand, report.inFlight, report.inflation, report.limitPerReplica})
         numbers.push_back(
             std::min<std::int64_t>(maxReportedHundredths, std::llround(hundredths * number)));
     return numbers;
@@ -64,45 +67,45 @@
 {
     const auto number = value.to_number<std::size_t>();
     if (number >= enum_names<Enum>::names.size())
-        throw std::out_of_range("not a known kind");
+        throw std::out_of_range("unknown enum value");
     return Enum(number);
 }
 
-/// \returns the number in \p value. \throws if no daemon tells it.
+/// \returns the number in \p value. \throws std::out_of_range if no daemon would report it.
 double numberIn(const json::value &value)
 {
     const auto number = value.to_number<std::int64_t>();
     if (number < 0 || number > maxReportedHundredths)
-        throw std::out_of_range("a word on places");
+        throw std::out_of_range("number in a demand report out of range");
     return double(number) / hundredths;
 }
 
 concurrency_reports demandReportsIn(const json::object &o)
 {
-    concurrency_reports words;
+    concurrency_reports reports;
     for (const auto &[service, value] : o) {
-        const concurrency_report word{numberIn(value.at(0)), numberIn(value.at(1)),
-                                      numberIn(value.at(2)), numberIn(value.at(3))};
-        words.emplace(std::string(service), word);
+        const concurrency_report report{numberIn(value.at(0)), numberIn(value.at(1)),
+                                        numberIn(value.at(2)), numberIn(value.at(3))};
+        reports.emplace(std::string(service), report);
     }
-    return words;
+    return reports;
 }
 
 replica_reports replicaReportsIn(const json::object &o)
 {
     if (o.size() > maxReplicaReports)
-        throw std::out_of_range("words on replicas");
-    replica_reports words;
+        throw std::out_of_range("too many replica reports");
+    replica_reports reports;
     for (const auto &[id, value] : o)
-        words.emplace(upstream_id{std::string(id)}, enumIn<replica_report>(value));
-    return words;
+        reports.emplace(upstream_id{std::string(id)}, enumIn<replica_report>(value));
+    return reports;
 }
 
 member_update updateIn(const json::value &value)
 {
     const json::array &a = value.as_array();
     if (a.size() < UpdateFields)
-        throw std::out_of_range("an update");
+        throw std::out_of_range("member update truncated");
     member_update update;
     member_state &m = update.state;
     m.name = {std::string(a[Name].as_string())};
@@ -129,10 +132,10 @@
     m.requestsState = o.contains("a");
     if (const json::value *target = o.if_contains("t"))
         m.target = addressIn(*target);
-    if (const json::value *words = o.if_contains("w"))
-        m.words = demandReportsIn(words->as_object());
-    if (const json::value *words = o.if_contains("f"))
-        m.replicaWords = replicaReportsIn(words->as_object());
+    if (const json::value *reports = o.if_contains("w"))
+        m.demandReports = demandReportsIn(reports->as_object());
+    if (const json::value *reports = o.if_contains("f"))
+        m.replicaReports = replicaReportsIn(reports->as_object());
     if (const json::value *replicas = o.if_contains("r"))
         m.replicas = digestFromJson(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
@@ -156,17 +159,17 @@
         o["a"] = 1;
     if (message.target)
         o["t"] = toText(*message.target);
-    if (!message.words.empty()) {
-        json::object words;
-        for (const auto &[service, word] : message.words)
-            words[service] = encode(word);
-        o["w"] = std::move(words);
+    if (!message.demandReports.empty()) {
+        json::object reports;
+        for (const auto &[service, report] : message.demandReports)
+            reports[service] = encode(report);
+        o["w"] = std::move(reports);
     }
-    if (!message.replicaWords.empty()) {
-        json::object words;
-        for (const auto &[id, word] : message.replicaWords)
-            words[id.value] = int(word);
-        o["f"] = std::move(words);
+    if (!message.replicaReports.empty()) {
+        json::object reports;
+        for (const auto &[id, report] : message.replicaReports)
+            reports[id.value] = int(report);
+        o["f"] = std::move(reports);
     }
     if (message.replicas)
         o["r"] = toJson(*message.replicas);
@@ -185,7 +188,7 @@
         const json::value document = json::parse(text);
         return messageIn(document.as_object());
     } catch (const std::exception &) {
-        // The caller counts it and says where it came from.
+        // The caller counts the failure and logs the source of the text.
         return std::nullopt;
     }
 }
--- a/test/io/member_list_test.cpp
+++ b/test/io/member_list_test.cpp
@@ -73,7 +73,7 @@
             CHECK(list.alive().empty());
             CHECK_FALSE(list.apply({state("a", 1, 4), member_health::Alive}, {}));
             CHECK_FALSE(list.apply({state("a", 1, 4), member_health::Suspect}, at(900)));
-            CHECK(list.silent().size() == 1);
+            CHECK(list.unhealthy().size() == 1);
         }
         SUBCASE("a restarted member counts from one again")
         {
@@ -85,9 +85,9 @@
         {
             list.apply({state("a", 1, 4), member_health::Dead}, at(0));
             list.expire(at(599'000));
-            CHECK(list.known() == 1);
+            CHECK(list.knownCount() == 1);
             list.expire(at(601'000));
-            CHECK(list.known() == 0);
+            CHECK(list.knownCount() == 0);
         }
         SUBCASE("changes are told once")
         {
@@ -102,20 +102,20 @@
 
     TEST_CASE("a member that the store names counts as alive once it is heard of")
     {
-        // A row outlives a host that lost its power.
+        // The row of a host that lost power stays in the store.
         member_list list;
         list.onStoredMember(state("a", 3, 1), at(0));
         CHECK(list.alive().empty());
-        CHECK(list.silent().size() == 1);
+        CHECK(list.unhealthy().size() == 1);
 
         SUBCASE("by its own word, as the row has it")
         {
-            CHECK(list.onHeard({"a"}, 3, 1));
+            CHECK(list.onMessageFrom({"a"}, 3, 1));
             CHECK(list.alive().size() == 1);
         }
         SUBCASE("by a later word, which is asked for first")
         {
-            CHECK_FALSE(list.onHeard({"a"}, 4, 1));
+            CHECK_FALSE(list.onMessageFrom({"a"}, 4, 1));
             CHECK(list.alive().empty());
             CHECK(list.apply({state("a", 4, 1), member_health::Alive}, {}));
             CHECK(list.alive().size() == 1);
@@ -142,11 +142,11 @@
         }
         SUBCASE("what was told unasked gets no answer that asks: two would go on for ever")
         {
-            probe_message told = from("a", 1, 1, probe_kind::Ack);
-            told.sequence = 0;
-            CHECK(daemon.onMessage(told, peer, at(0)).empty());
-            told.requestsState = true;
-            const auto out = daemon.onMessage(told, peer, at(0));
+            probe_message unsolicited = from("a", 1, 1, probe_kind::Ack);
+            unsolicited.sequence = 0;
+            CHECK(daemon.onMessage(unsolicited, peer, at(0)).empty());
+            unsolicited.requestsState = true;
+            const auto out = daemon.onMessage(unsolicited, peer, at(0));
             REQUIRE(out.size() == 1);
             CHECK_FALSE(out.front().message.requestsState);
             CHECK(out.front().message.updates.back().state.name.value == "self");
@@ -154,14 +154,14 @@
         SUBCASE("it denies that it is gone, and tells another that it is held for gone")
         {
             daemon.onMessage(pingWithState(state("a")), peer, at(0));
-            probe_message rumour = from("a", 1, 1);
-            rumour.updates.push_back({daemon.self(), member_health::Dead});
+            probe_message deathReport = from("a", 1, 1);
+            deathReport.updates.push_back({daemon.self(), member_health::Dead});
             const std::uint64_t before = daemon.self().version;
-            daemon.onMessage(rumour, peer, at(10));
+            daemon.onMessage(deathReport, peer, at(10));
             CHECK(daemon.self().version == before + 1);
-            probe_message doubt = from("b", 1, 1);
-            doubt.updates.push_back({state("a"), member_health::Suspect});
-            daemon.onMessage(doubt, peer, at(20));
+            probe_message suspicion = from("b", 1, 1);
+            suspicion.updates.push_back({state("a"), member_health::Suspect});
+            daemon.onMessage(suspicion, peer, at(20));
             const auto out = daemon.onMessage(from("a", 1, 1), peer, at(30));
             REQUIRE(out.size() == 1);
             const member_update &last = out.front().message.updates.back();
@@ -172,11 +172,11 @@
         {
             probe_message request = from("a", 1, 1, probe_kind::IndirectPing);
             request.target = endpoint{"10.0.0.9", 3};
-            const auto asked = daemon.onMessage(request, peer, at(0));
-            REQUIRE(!asked.empty());
-            CHECK(asked.front().to == *request.target);
+            const auto forwarded = daemon.onMessage(request, peer, at(0));
+            REQUIRE(!forwarded.empty());
+            CHECK(forwarded.front().to == *request.target);
             probe_message answer = from("c", 1, 1, probe_kind::Ack);
-            answer.sequence = asked.front().message.sequence;
+            answer.sequence = forwarded.front().message.sequence;
             const auto passed = daemon.onMessage(answer, *request.target, at(5));
             REQUIRE(!passed.empty());
             CHECK(passed.front().to == peer);
@@ -186,7 +186,8 @@
 
     TEST_CASE("a daemon whose clock went back before it started again is heard all the same")
     {
-        // The others hold its earlier run for the later one, and all that the new one says for old.
+        // Without a larger incarnation, the others would discard the updates of the new run as
+        // older than those of the previous run.
         membership_protocol daemon(state("self", 1000), 1);
         daemon.onStoredMember(state("self", 5000), at(0));
         CHECK(daemon.self().incarnation == 5001);
@@ -212,14 +213,14 @@
     TEST_CASE("words on places are kept for as long as they are fresh, one of each daemon")
     {
         gossip_reports sample;
-        sample.onHeard({"a"}, {{"model", {1, 1, 0, 0}}}, {}, at(0));
-        sample.onHeard({"a"}, {{"model", {2, 2, 0, 0}}}, {}, at(100));
-        sample.onHeard({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_report::Failing}},
-                       at(900));
-        CHECK(sample.heard().size() == 2);
-        CHECK(sample.heard().front().at("model").demand == 2);
+        sample.onReports({"a"}, {{"model", {1, 1, 0, 0}}}, {}, at(0));
+        sample.onReports({"a"}, {{"model", {2, 2, 0, 0}}}, {}, at(100));
+        sample.onReports({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_report::Failing}},
+                         at(900));
+        CHECK(sample.demandReports().size() == 2);
+        CHECK(sample.demandReports().front().at("model").demand == 2);
         sample.expire(at(1400));
-        CHECK(sample.heard().size() == 1);
+        CHECK(sample.demandReports().size() == 1);
     }
 
     TEST_CASE("what is said of members survives the way")
@@ -255,12 +256,12 @@
 
         SUBCASE("with what the daemon wants of the engines, and holds to be right there")
         {
-            m.words = {{"model", {78, 24, 2.94, 16.5}}, {"other", {}}};
-            CHECK(decodeProbe(encodeProbe(m))->words == m.words);
+            m.demandReports = {{"model", {78, 24, 2.94, 16.5}}, {"other", {}}};
+            CHECK(decodeProbe(encodeProbe(m))->demandReports == m.demandReports);
         }
         SUBCASE("numbers that no daemon can have are refused")
         {
-            m.words = {{"model", {1, 1, 1, 1}}};
+            m.demandReports = {{"model", {1, 1, 1, 1}}};
             const std::string text = encodeProbe(m);
             const std::string numbers = "[100,100,100,100]";
             REQUIRE(text.find(numbers) != std::string::npos);
@@ -273,7 +274,7 @@
         }
         SUBCASE("a number beyond what is told is told as the largest")
         {
-            m.words = {{"model", {1e12, 1, 1, 1}}};
+            m.demandReports = {{"model", {1e12, 1, 1, 1}}};
             CHECK(decodeProbe(encodeProbe(m)));
         }
     }
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -81,7 +81,7 @@
     return milliseconds(std::uniform_int_distribution<int>(1, 5)(m_random));
 }
 
-void membership_replay::play(duration time)
+void membership_replay::advance(duration time)
 {
     const time_point end = m_now + time;
     while (!m_events.empty() && m_events.begin()->first.first <= end) {
@@ -89,9 +89,9 @@
         m_now = next.key().first;
         event &e = next.mapped();
         if (m_stopped.contains(e.daemon))
-            m_held[e.daemon].push_back(std::move(e));
+            m_heldEvents[e.daemon].push_back(std::move(e));
         else
-            happen(e);
+            process(e);
     }
     m_now = end;
 }
@@ -105,9 +105,9 @@
 void membership_replay::unfreeze(int daemon)
 {
     m_stopped.erase(daemon);
-    for (event &e : m_held[daemon])
+    for (event &e : m_heldEvents[daemon])
         push(m_now, std::move(e));
-    m_held.erase(daemon);
+    m_heldEvents.erase(daemon);
 }
 
 void membership_replay::send(int from, const probe_datagram &datagram)
@@ -120,9 +120,9 @@
         push(m_now + latency(), {target, from, datagram.message, false});
 }
 
-void membership_replay::count(int holder, const std::vector<member_change> &changes)
+void membership_replay::count(int observer, const std::vector<member_change> &changes)
 {
-    if (holder == m_ignoredObserver)
+    if (observer == m_ignoredObserver)
         return;
     for (const member_change &c : changes) {
         const bool hasRun = !m_everStopped.contains(indexOf(c.member.gossip));
@@ -178,11 +178,11 @@
     return {m_table, m_storeVersion};
 }
 
-void membership_replay::look(int daemon)
+void membership_replay::pollTable(int daemon)
 {
     table_cache &copy = m_copies[std::size_t(daemon)];
-    const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
-    if (isReadDue(m_turns, copy.age(m_now), chance) && !m_withoutStore.contains(daemon)) {
+    const double randomFraction = std::uniform_real_distribution<double>(0, 1)(m_random);
+    if (isReadDue(m_turns, copy.age(m_now), randomFraction) && !m_withoutStore.contains(daemon)) {
         ++tableReads;
         copy.onRead(tablePage(), m_now);
     }
@@ -191,12 +191,13 @@
 
 void membership_replay::onDigests(int daemon)
 {
-    for (const peer_digest &news : m_daemons[std::size_t(daemon)].takeDigests()) {
+    for (const peer_digest &received : m_daemons[std::size_t(daemon)].takeDigests()) {
         if (m_copies.empty())
             return;
-        const int other = news.peer.port;
+        const int other = received.peer.port;
         table_cache &copy = m_copies[std::size_t(daemon)];
-        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
+        const bool isBehind
+            = copy.onDigest(received.digest, received.askedAt) == digest_comparison::Behind;
         const bool isReached = !m_stopped.contains(other) && !m_cutLinks.contains({daemon, other});
         if (isBehind && isReached) {
             const table_cache &theirs = m_copies[std::size_t(other)];
@@ -232,16 +233,16 @@
     return oldest;
 }
 
-void membership_replay::happen(const event &e)
+void membership_replay::process(const event &e)
 {
     if (e.isTablePoll) {
-        look(e.daemon);
+        pollTable(e.daemon);
         return;
     }
     membership_protocol &daemon = m_daemons[std::size_t(e.daemon)];
     if (!m_copies.empty()) {
         if (const auto digest = m_copies[std::size_t(e.daemon)].digest(m_now))
-            daemon.setReplicas(*digest, m_now);
+            daemon.setReplicaDigest(*digest, m_now);
     }
     std::vector<probe_datagram> out;
     if (e.message) {
--- a/test/io/replica_news_replay_test.cpp
+++ b/test/io/replica_news_replay_test.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Time within which each daemon must act on a change of the entries.
+/// Time within which each daemon must see a change of the replica table.
 constexpr duration bound = seconds(4);
-/// Reads a second of all daemons that the store is asked for at most, whatever their number: about
-/// twice what sixteen readers make.
+/// Bound of the table reads of all daemons together, whatever their number: about twice the rate of
+/// sixteen readers.
 constexpr double maxReadsPerSecond = 32;
 
 membership_replay runningReplay(int size)
 {
     membership_replay replay(size, membership_replay::start::Joined);
     replay.followTable(bound);
-    replay.play(seconds(3));
+    replay.advance(seconds(3));
     return replay;
 }
 
@@ -26,17 +26,18 @@
 {
     TEST_CASE("a change is with all daemons in time, at reads that don't grow with their number")
     {
-        // Each daemon read all entries once a second: 295 daemons and 233 entries were 16 MB a
-        // second at the store, most of what a calm day read there, and forty times that at 1,800
-        // daemons.
+        // Guards against reads that grow with the number of daemons. When each daemon read the
+        // whole table once a second, 295 daemons and 233 entries caused 16 MB a second at the
+        // store, most of its read traffic under normal load; 1,800 daemons would cause forty times
+        // that.
         for (const int size : {3, 30, 300, 1800}) {
             CAPTURE(size);
             membership_replay replay = runningReplay(size);
             replay.tableReads = 0;
-            replay.play(seconds(2));
+            replay.advance(seconds(2));
             CHECK(double(replay.tableReads) / 2 <= maxReadsPerSecond);
             replay.changeTable();
-            replay.play(bound);
+            replay.advance(bound);
             CHECK(replay.daemonsBehind() == 0);
             CHECK(replay.oldestCopy() <= bound);
         }
@@ -70,7 +71,7 @@
         }
         for (int change = 0; change < 3; ++change) {
             replay.changeTable();
-            replay.play(bound);
+            replay.advance(bound);
             CHECK(replay.daemonsBehind() == 0);
         }
     }
@@ -79,11 +80,11 @@
     {
         membership_replay replay = runningReplay(60);
         replay.stop(7);
-        replay.play(seconds(5));
+        replay.advance(seconds(5));
         replay.changeTable();
-        replay.play(bound);
+        replay.advance(bound);
         replay.unfreeze(7);
-        replay.play(seconds(2));
+        replay.advance(seconds(2));
         CHECK(replay.daemonsBehind() == 0);
     }
 
@@ -93,14 +94,14 @@
         membership_replay replay = runningReplay(size);
         for (int i = 0; i < size; ++i)
             replay.cutStore(i);
-        replay.play(seconds(6));
+        replay.advance(seconds(6));
         replay.changeTable();
         replay.restoreStore();
-        replay.play(bound / 2);
+        replay.advance(bound / 2);
         CHECK(replay.daemonsBehind() == 0);
-        replay.play(seconds(2));
+        replay.advance(seconds(2));
         replay.tableReads = 0;
-        replay.play(seconds(2));
+        replay.advance(seconds(2));
         CHECK(double(replay.tableReads) / 2 <= maxReadsPerSecond);
     }
 }
