--- a/src/program/program_registry.cpp
+++ b/src/program/program_registry.cpp
@@ -91,16 +91,16 @@
     if (const auto it = p->turnByKey.find(request.key);
         it != p->turnByKey.end() && it->second != request.turn) {
         return refuse(refusal_reason::KeyReused,
-                      fmt::format("the key was already used for turn {}", it->second));
+                      fmt::format("the key was used for turn {}", it->second));
     }
     if (p->openCall && p->openCall->turn == request.turn) {
         if (p->openCall->key != request.key)
-            return refuse(refusal_reason::KeyReused, "the turn is in progress under another key");
+            return refuse(refusal_reason::KeyReused, "the turn is under way with another key");
         return attach_to_call{*p->openCall};
     }
     if (const auto it = p->closedCalls.find(request.turn); it != p->closedCalls.end()) {
         if (it->second.key != request.key)
-            return refuse(refusal_reason::KeyReused, "the turn has ended under another key");
+            return refuse(refusal_reason::KeyReused, "the turn has ended with another key");
         return replay_answer{it->second};
     }
     if (auto rejection = refusalIfEnded(*p, nowUnixMs))
@@ -110,7 +110,7 @@
         return wait_for_previous_turn{};
     if (request.turn != next) {
         return refuse(refusal_reason::TurnOutOfOrder,
-                      fmt::format("got turn {}, expected turn {}", request.turn, next));
+                      fmt::format("turn {} came, turn {} comes next", request.turn, next));
     }
     if (p->maxTurns != 0 && request.turn > p->maxTurns) {
         return refuse(refusal_reason::TooManyTurns,
@@ -122,7 +122,7 @@
     const std::int64_t free = freeTokens(request.program);
     if (needed > free) {
         return refuse(refusal_reason::BudgetExhausted,
-                      fmt::format("{} tokens requested, {} available", needed, free));
+                      fmt::format("{} tokens wanted, {} free", needed, free));
     }
     return begin_call{call_begun{request.program, request.turn, request.key, request.kind,
                                  request.idempotent, needed}};
