--- a/src/entry/engine_places.cpp
+++ b/src/entry/engine_admission.cpp
@@ -1,4 +1,4 @@
-#include "entry/engine_places.h"
+#include "entry/engine_admission.h"
 
 #include "core/log_event.h"
 
@@ -12,25 +12,26 @@
 
 /// Share of its time that a request may wait for a place; beyond it, the answer could no longer
 /// come in time, and the client does better to ask again.
-constexpr double gatePatience = 0.4;
+constexpr double admissionWaitShare = 0.4;
 
-duration gateShare(duration left)
+duration admissionTimeout(duration left)
 {
-    return std::chrono::duration_cast<duration>(gatePatience * left);
+    return std::chrono::duration_cast<duration>(admissionWaitShare * left);
 }
 
-gate_ticket ticketOf(const entry_call &call, const program_times &times)
+gate_ticket admissionTicketOf(const entry_call &call, const program_times &times)
 {
     gate_ticket ticket;
     ticket.rank = call.rank.order;
     ticket.continues = call.isLaterTurn;
-    ticket.slack = call.request.programFinish.value_or(duration::max());
+    ticket.slack = call.request.programTimeLeft.value_or(duration::max());
     if (ticket.slack > duration::zero())
         return ticket;
     ticket.slack = times.left.value_or(duration::zero());
     // An answer within twice the program's time still earns something.
-    const bool isLost = times.left && times.aim && *times.left + *times.aim < duration::zero();
-    ticket.hope = isLost ? program_hope::Lost : program_hope::Late;
+    const bool isInfeasible
+        = times.left && times.aim && *times.left + *times.aim < duration::zero();
+    ticket.hope = isInfeasible ? program_hope::Lost : program_hope::Late;
     return ticket;
 }
 
@@ -54,31 +55,32 @@
 }
 
 /// \returns what each daemon of \p others tells of \p service.
-std::vector<place_word> wordsOf(const std::vector<place_words> &others, const std::string &service)
+std::vector<place_word> reportsOf(const std::vector<place_words> &reports,
+                                  const std::string &service)
 {
-    std::vector<place_word> words;
-    words.reserve(others.size());
-    for (const place_words &one : others) {
-        const auto found = one.find(service);
-        words.push_back(found == one.end() ? place_word() : found->second);
+    std::vector<place_word> serviceReports;
+    serviceReports.reserve(reports.size());
+    for (const place_words &report : reports) {
+        const auto found = report.find(service);
+        serviceReports.push_back(found == report.end() ? place_word() : found->second);
     }
-    return words;
+    return serviceReports;
 }
 
 } // namespace
 
-engine_places::engine_places(asio::any_io_executor executor, const mechanism_set &mechanisms,
-                             entry_metrics &metrics)
+engine_admission::engine_admission(asio::any_io_executor executor, const mechanism_set &mechanisms,
+                                   entry_metrics &metrics)
     : m_executor(std::move(executor)), m_mechanisms(mechanisms), m_metrics(metrics)
 { }
 
-void engine_places::addService(const std::string &service)
+void engine_admission::addService(const std::string &service)
 {
     if (m_mechanisms.has(mechanism::EngineGate))
         m_gates.try_emplace(service, m_mechanisms);
 }
 
-void engine_places::update(const replica_board &board, time_point now)
+void engine_admission::update(const replica_board &board, time_point now)
 {
     for (auto &[name, gate] : m_gates) {
         gate.setEngines({board.open(name, now), board.openSlots(name, now)});
@@ -86,78 +88,80 @@
     }
 }
 
-place_words engine_places::tell()
+place_words engine_admission::makeReports()
 {
-    place_words all;
+    place_words reports;
     for (auto &[name, gate] : m_gates) {
-        const place_word word = gate.tell();
+        const place_word report = gate.tell();
         // A service that nobody uses here takes no room in the message.
-        if (word.wanted > 0)
-            all.emplace(name, word);
+        if (report.wanted > 0)
+            reports.emplace(name, report);
     }
-    return all;
+    return reports;
 }
 
-void engine_places::hear(const std::vector<place_words> &heard, std::size_t others)
+void engine_admission::mergeReports(const std::vector<place_words> &reports,
+                                    std::size_t otherDaemons)
 {
     for (auto &[name, gate] : m_gates) {
-        const std::vector<place_word> words = wordsOf(heard, name);
-        gate.hear({words, others});
+        const std::vector<place_word> serviceReports = reportsOf(reports, name);
+        gate.hear({serviceReports, otherDaemons});
     }
 }
 
-void engine_places::grant(service_gate &gate)
+void engine_admission::grant(service_gate &gate)
 {
     for (const std::uint64_t number : gate.take()) {
         const auto found = m_waiting.find(number);
         if (found == m_waiting.end())
             continue;
         found->second->granted = true;
-        found->second->alarm.cancel();
+        found->second->waitTimer.cancel();
     }
 }
 
-awaitable<bool> engine_places::enter(entry_call_ptr call, program_times times)
+awaitable<bool> engine_admission::admit(entry_call_ptr call, program_times times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
         co_return true;
     service_gate &gate = found->second;
-    gate_ticket ticket = ticketOf(*call, times);
+    gate_ticket ticket = admissionTicketOf(*call, times);
     ticket.number = ++m_lastTicket;
     if (gate.enter(ticket)) {
-        call->isInsideGate = true;
+        call->holdsEngineSlot = true;
         co_return true;
     }
-    auto wait = std::make_shared<waiting_call>(m_executor);
+    auto wait = std::make_shared<queued_request>(m_executor);
     m_waiting[ticket.number] = wait;
-    call->gateAlarm = &wait->alarm;
+    call->admissionTimer = &wait->waitTimer;
     const time_point began = runtime_clock::now();
-    wait->alarm.expires_at(began + gateShare(call->deadline - began));
+    wait->waitTimer.expires_at(began + admissionTimeout(call->deadline - began));
     boost::system::error_code code;
-    co_await wait->alarm.async_wait(asio::redirect_error(use_awaitable, code));
-    call->gateAlarm = nullptr;
+    co_await wait->waitTimer.async_wait(asio::redirect_error(use_awaitable, code));
+    call->admissionTimer = nullptr;
     m_waiting.erase(ticket.number);
     gate.withdraw(ticket.number);
-    call->isInsideGate = wait->granted;
+    call->holdsEngineSlot = wait->granted;
     const duration waited = runtime_clock::now() - began;
     logPlace(*call, ticket, gate, wait->granted, waited);
-    m_metrics.onPhase(call->route->name, request_phase::Place, waited);
-    if (call->clientLeft())
-        leave(*call);
-    co_return wait->granted && !call->clientLeft();
+    m_metrics.onPhase(call->route->name, request_phase::Admission, waited);
+    if (call->clientDisconnected())
+        release(*call);
+    co_return wait->granted && !call->clientDisconnected();
 }
 
-void engine_places::leave(entry_call &call)
+void engine_admission::release(entry_call &call)
 {
     const auto gate = m_gates.find(call.service);
-    if (!std::exchange(call.isInsideGate, false) || gate == m_gates.end())
+    if (!std::exchange(call.holdsEngineSlot, false) || gate == m_gates.end())
         return;
     gate->second.leave();
     grant(gate->second);
 }
 
-void engine_places::onPace(const std::string &service, double msPerEvent, time_point now)
+void engine_admission::onEventInterval(const std::string &service, double msPerEvent,
+                                       time_point now)
 {
     if (const auto gate = m_gates.find(service); gate != m_gates.end())
         gate->second.onPace(msPerEvent, now);
--- a/src/entry/engine_places.h
+++ b/src/entry/engine_admission.h
@@ -13,38 +13,38 @@
 
 /// \brief Lets requests wait for a place at the engines of their service. Each service with engines
 /// has a service_gate. Used on the traffic thread.
-class engine_places
+class engine_admission
 {
 public:
-    engine_places(asio::any_io_executor executor, const mechanism_set &mechanisms,
-                  entry_metrics &metrics);
+    engine_admission(asio::any_io_executor executor, const mechanism_set &mechanisms,
+                     entry_metrics &metrics);
 
     /// \brief Makes a gate for \p service if it has none yet.
     void addService(const std::string &service);
     /// \brief Takes in how many replicas may take requests, and grants places that came free.
     void update(const replica_board &board, time_point now);
     /// \returns what this daemon tells the others of its places. Call it once for each round.
-    place_words tell();
+    place_words makeReports();
     /// \brief Takes in a round of what the other daemons told.
     /// \param heard the words of those that were heard lately.
     /// \param others the other daemons that live, heard ones included.
-    void hear(const std::vector<place_words> &heard, std::size_t others);
+    void mergeReports(const std::vector<place_words> &reports, std::size_t otherDaemons);
 
     /// \brief Waits for a place.
     /// \param times how the call's program stands, if it has an account.
     /// \returns whether the call has one now; always true for services without engines.
-    awaitable<bool> enter(entry_call_ptr call, program_times times);
+    awaitable<bool> admit(entry_call_ptr call, program_times times);
     /// \brief Gives the call's place back, if it has one.
-    void leave(entry_call &call);
+    void release(entry_call &call);
     /// \brief An answer of \p service had its events \p msPerEvent apart.
-    void onPace(const std::string &service, double msPerEvent, time_point now);
+    void onEventInterval(const std::string &service, double msPerEvent, time_point now);
 
 private:
     /// \brief A request that waits.
-    struct waiting_call
+    struct queued_request
     {
-        explicit waiting_call(const asio::any_io_executor &executor) : alarm(executor) { }
-        timer alarm;
+        explicit queued_request(const asio::any_io_executor &executor) : waitTimer(executor) { }
+        timer waitTimer;
         bool granted = false;
     };
 
@@ -54,7 +54,7 @@
     mechanism_set m_mechanisms;
     entry_metrics &m_metrics;
     std::map<std::string, service_gate, std::less<>> m_gates;
-    std::map<std::uint64_t, std::shared_ptr<waiting_call>> m_waiting;
+    std::map<std::uint64_t, std::shared_ptr<queued_request>> m_waiting;
     std::uint64_t m_lastTicket = 0;
 };
 
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-constexpr duration sweepPause = milliseconds(50);
+constexpr duration sweepInterval = milliseconds(50);
 /// Pause between removals of rows that are no longer needed.
-constexpr duration removalPause = seconds(1);
+constexpr duration removalInterval = seconds(1);
 /// Pause between words to the other daemons of what is wanted here: a round of their gossip.
-constexpr duration wordPause = milliseconds(200);
+constexpr duration reportPublishInterval = milliseconds(200);
 /// Share of a process's memory that its turns may take. The rest is for connections and answers.
-constexpr int cacheShare = 8;
+constexpr int cacheMemoryDivisor = 8;
 
 /// Share of its time that a request may wait for a credit.
-constexpr double creditPatience = 0.25;
+constexpr double creditWaitShare = 0.25;
 /// Clients come back after this long when no daemon lends: a new one takes about as long to begin.
-constexpr duration lenderComeBack = milliseconds(700);
+constexpr duration lenderRetryAfter = milliseconds(700);
 /// Causes of refusals for a quota's sake.
-constexpr std::string_view quotaUsedUp = "the account's quota is used up";
-constexpr std::string_view lenderSilent = "no daemon lends the account's credits";
+constexpr std::string_view quotaExhaustedDetail = "the account's quota is used up";
+constexpr std::string_view lenderUnavailableDetail = "no daemon lends the account's credits";
 
 http_limits limitsOf(const host_settings &settings, const client_limits &c)
 {
@@ -43,16 +43,17 @@
 
 /// \returns the id under which the daemons keep a program that clients of \p account call
 /// \p named. Another account's program of the same name is another program.
-program_id programIn(const account_id &account, const program_id &named)
+program_id accountScopedProgram(const account_id &account, const program_id &clientProgram)
 {
-    if (account.empty() || named.empty())
-        return named;
-    return {fmt::format("{}/{}", account.value, named.value)};
+    if (account.empty() || clientProgram.empty())
+        return clientProgram;
+    return {fmt::format("{}/{}", account.value, clientProgram.value)};
 }
 
 ledger_settings ledgerSettings(const host_settings &s)
 {
-    return {s.rowBytes, s.storeSpansParts, static_cast<std::size_t>(s.memoryBytes / cacheShare)};
+    return {s.rowBytes, s.storeSpansParts,
+            static_cast<std::size_t>(s.memoryBytes / cacheMemoryDivisor)};
 }
 
 } // namespace
@@ -67,9 +68,10 @@
       m_ledger(m_pacedStore, ledgerSettings(settings)),
       m_credits(m_executor, m_pacedStore, settings.quota),
       m_board(settings.dataCentre, stableHash(settings.name.value), settings.mechanisms),
-      m_sender(m_executor, m_board, metrics), m_places(m_executor, settings.mechanisms, metrics),
-      m_answers(metrics), m_relay(m_sender, m_board, m_places, m_answers, metrics),
-      m_turns(m_executor, m_ledger, m_places, m_sender, m_relay, m_answers, metrics),
+      m_sender(m_executor, m_board, metrics),
+      m_engineAdmission(m_executor, settings.mechanisms, metrics), m_localReplies(metrics),
+      m_relay(m_sender, m_board, m_engineAdmission, m_localReplies, metrics),
+      m_turns(m_executor, m_ledger, m_engineAdmission, m_sender, m_relay, m_localReplies, metrics),
       m_server(m_executor, limitsOf(settings, {}),
                [this](const http_request &r, response_writer &w) { return serve(r, w); })
 { }
@@ -91,7 +93,7 @@
     m_server.announceClose();
 }
 
-void entry_service::setRoutes(route_book_ptr routes)
+void entry_service::setRoutes(routing_config_ptr routes)
 {
     m_routes = std::move(routes);
     m_sender.setRoutes(m_routes);
@@ -101,7 +103,7 @@
         if (!service.engine)
             continue;
         m_board.setCacheTokens(service.name, service.engine->cacheTokens);
-        m_places.addService(service.name);
+        m_engineAdmission.addService(service.name);
     }
 }
 
@@ -127,7 +129,7 @@
 awaitable<void> entry_service::removeOldRows()
 {
     while (true) {
-        co_await sleepFor(removalPause);
+        co_await sleepFor(removalInterval);
         co_await m_ledger.removeOldRows();
     }
 }
@@ -138,31 +140,31 @@
         const time_point now = runtime_clock::now();
         m_sender.sweep(now);
         m_ledger.expire(now);
-        m_places.update(m_board, now);
-        tellPlaceWords(now);
-        m_metrics.setDoubtedReplicas(m_board.doubted());
-        co_await sleepFor(sweepPause);
+        m_engineAdmission.update(m_board, now);
+        publishReports(now);
+        m_metrics.setEjectedReplicas(m_board.doubted());
+        co_await sleepFor(sweepInterval);
     }
 }
 
-void entry_service::setOtherPlaceWords(const std::vector<place_words> &heard)
+void entry_service::mergeAdmissionReports(const std::vector<place_words> &reports)
 {
-    m_places.hear(heard, static_cast<std::size_t>(m_daemons - 1));
+    m_engineAdmission.mergeReports(reports, static_cast<std::size_t>(m_daemons - 1));
 }
 
-void entry_service::setOtherReplicaWords(const std::vector<replica_words> &heard)
+void entry_service::mergeReplicaReports(const std::vector<replica_words> &reports)
 {
-    m_board.hear(heard, runtime_clock::now());
+    m_board.hear(reports, runtime_clock::now());
 }
 
-void entry_service::tellPlaceWords(time_point now)
+void entry_service::publishReports(time_point now)
 {
-    if (!m_tellPlaceWords || now < m_wordsToldAt + wordPause)
+    if (!m_publishAdmissionReport || now < m_reportsPublishedAt + reportPublishInterval)
         return;
-    m_wordsToldAt = now;
-    m_tellPlaceWords(m_places.tell());
-    if (m_tellReplicaWords)
-        m_tellReplicaWords(m_board.tell(now));
+    m_reportsPublishedAt = now;
+    m_publishAdmissionReport(m_engineAdmission.makeReports());
+    if (m_publishReplicaReport)
+        m_publishReplicaReport(m_board.tell(now));
 }
 
 std::string entry_service::pickService(const route_rule &route)
@@ -170,10 +172,10 @@
     double total = 0;
     for (const weighted_service &s : route.services)
         total += s.weight;
-    double place = std::uniform_real_distribution<double>(0, total)(m_random);
+    double point = std::uniform_real_distribution<double>(0, total)(m_random);
     for (const weighted_service &s : route.services) {
-        place -= s.weight;
-        if (place < 0)
+        point -= s.weight;
+        if (point < 0)
             return s.service;
     }
     return route.services.back().service;
@@ -182,7 +184,7 @@
 awaitable<bool> entry_service::findRoute(entry_call_ptr call, const http_request &request,
                                          response_writer &writer)
 {
-    own_answer fault = own_answer::Malformed;
+    local_reply rejection = local_reply::Malformed;
     std::string detail;
     auto decoded = decodeClientRequest(request);
     if (decoded)
@@ -197,23 +199,23 @@
     if (!decoded) {
         detail = std::move(decoded.error());
     } else if (!m_routes) {
-        fault = own_answer::Refused;
+        rejection = local_reply::Refused;
         detail = "no configuration yet";
     } else if (!call->route || call->route->services.empty()) {
         call->route = nullptr;
-        fault = own_answer::NoRoute;
+        rejection = local_reply::NoRoute;
     } else if (allowed.verdict != access_verdict::Allowed) {
-        fault = own_answer::NoAccess;
+        rejection = local_reply::Unauthorized;
         detail = toName(allowed.verdict);
     } else if (call->request.id.empty()) {
         detail = "the request has no id";
     } else {
         call->account = allowed.account;
         call->rank = rankOf(call->account, *call->route);
-        call->request.program = programIn(call->accountName(), call->request.program);
+        call->request.program = accountScopedProgram(call->accountName(), call->request.program);
         co_return true;
     }
-    co_await m_answers.write(call, fault, std::move(detail), writer);
+    co_await m_localReplies.write(call, rejection, std::move(detail), writer);
     co_return false;
 }
 
@@ -225,20 +227,20 @@
     if (!routed)
         co_return;
     call->service = pickService(*call->route);
-    const duration patience = call->request.patience.value_or(call->route->timeout);
-    call->deadline = call->arrivedAt + std::min(patience, call->route->timeout);
+    const duration timeout = call->request.clientTimeout.value_or(call->route->timeout);
+    call->deadline = call->arrivedAt + std::min(timeout, call->route->timeout);
     writer.onPeerGone([call] {
-        call->cut = cut_reason::ClientLeft;
-        call->cutOff(cut_reason::ClientLeft);
+        call->abortReason = abort_reason::ClientDisconnected;
+        call->abortSend(abort_reason::ClientDisconnected);
     });
-    const bool hasCredit = co_await takeCredit(call, writer);
+    const bool hasCredit = co_await acquireCredit(call, writer);
     if (hasCredit) {
         co_await serveRouted(call, request, writer);
-        m_places.leave(*call);
+        m_engineAdmission.release(*call);
         if (call->credit && !call->mayHaveRun)
             m_credits.giveBack(call->accountName(), *call->credit);
     }
-    noteAnswered(*call);
+    recordAnswered(*call);
 }
 
 awaitable<void> entry_service::serveRouted(entry_call_ptr call, const http_request &request,
@@ -250,39 +252,40 @@
         co_await servePlain(call, request, writer);
 }
 
-awaitable<bool> entry_service::takeCredit(entry_call_ptr call, response_writer &writer)
+awaitable<bool> entry_service::acquireCredit(entry_call_ptr call, response_writer &writer)
 {
     if (!call->account || !call->account->quota)
         co_return true;
-    const bool isBegin = call->route->keepsHistory && call->request.previousTurn.empty();
-    const credit_use use = isBegin ? credit_use::Begin : credit_use::GoOn;
+    const bool isProgramStart = call->route->keepsHistory && call->request.previousTurn.empty();
+    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::GoOn;
     account_id account = call->accountName();
     const time_point began = runtime_clock::now();
-    const auto share
-        = std::chrono::duration_cast<duration>(creditPatience * (call->deadline - began));
-    const borrow_result result = co_await m_credits.borrow(std::move(account), use, began + share);
+    const auto waitLimit
+        = std::chrono::duration_cast<duration>(creditWaitShare * (call->deadline - began));
+    const borrow_result result
+        = co_await m_credits.borrow(std::move(account), use, began + waitLimit);
     if (const auto *id = std::get_if<credit_id>(&result)) {
         call->credit = *id;
         co_return true;
     }
-    if (call->clientLeft())
+    if (call->clientDisconnected())
         co_return false;
-    const auto *usedUp = std::get_if<quota_used_up>(&result);
-    std::string detail(usedUp ? quotaUsedUp : lenderSilent);
-    const own_answer answer = usedUp ? own_answer::OverQuota : own_answer::Refused;
-    co_await m_answers.write(call, answer, std::move(detail), writer,
-                             usedUp ? usedUp->retryAfter : lenderComeBack);
+    const auto *exhausted = std::get_if<quota_used_up>(&result);
+    std::string detail(exhausted ? quotaExhaustedDetail : lenderUnavailableDetail);
+    const local_reply answer = exhausted ? local_reply::OverQuota : local_reply::Refused;
+    co_await m_localReplies.write(call, answer, std::move(detail), writer,
+                                  exhausted ? exhausted->retryAfter : lenderRetryAfter);
     co_return false;
 }
 
-void entry_service::noteAnswered(const entry_call &call)
+void entry_service::recordAnswered(const entry_call &call)
 {
-    const duration whole = runtime_clock::now() - call.arrivedAt;
-    m_metrics.onPhase(call.route->name, request_phase::Whole, whole);
+    const duration elapsed = runtime_clock::now() - call.arrivedAt;
+    m_metrics.onPhase(call.route->name, request_phase::Total, elapsed);
     if (call.account)
-        m_metrics.onAccount(call.account->name.value, call.isOwnAnswer, whole);
-    if (!call.isOwnAnswer)
-        m_metrics.onAnswer("replica", call.clientLeft() ? "client_left" : "");
+        m_metrics.onAccount(call.account->name.value, call.isLocalReply, elapsed);
+    if (!call.isLocalReply)
+        m_metrics.onAnswer("replica", call.clientDisconnected() ? "client_left" : "");
     logDecision(log_event::Answered,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
@@ -290,44 +293,44 @@
                  {"route", call.route->name},
                  {"config", std::int64_t(call.routes->version())},
                  {"sends", std::int64_t(call.sends)},
-                 {"client_left", call.clientLeft()},
-                 {"ms", toMilliseconds(whole)}});
+                 {"client_left", call.clientDisconnected()},
+                 {"ms", toMilliseconds(elapsed)}});
 }
 
-bool entry_service::mayRepeat(const entry_call &call)
+bool entry_service::mayRetry(const entry_call &call)
 {
     return call.route->kind == route_kind::Idempotent && call.sends < call.route->maxAttempts
-        && !call.clientLeft() && runtime_clock::now() < call.deadline;
+        && !call.clientDisconnected() && runtime_clock::now() < call.deadline;
 }
 
 awaitable<void> entry_service::servePlain(entry_call_ptr call, const http_request &request,
                                           response_writer &writer)
 {
-    placement_request wanted = placementOf(*call);
+    placement_request placementRequest = placementRequestFor(*call);
     while (true) {
         std::string body = request.body;
-        auto reply = co_await m_sender.open(call, wanted, request, std::move(body));
+        auto reply = co_await m_sender.open(call, placementRequest, request, std::move(body));
         if (!reply) {
             send_failure failure = std::move(reply.error());
-            co_await m_answers.giveUp(call, std::move(failure), writer);
+            co_await m_localReplies.replyWithFailure(call, std::move(failure), writer);
             co_return;
         }
         std::string answer;
-        const bool whole = co_await m_relay.readBody(call, *reply, answer);
-        if (!whole) {
+        const bool isComplete = co_await m_relay.readBody(call, *reply, answer);
+        if (!isComplete) {
             m_sender.finish(*call, *reply,
-                            call->clientLeft() ? send_end::Cancelled : send_end::Broken);
+                            call->clientDisconnected() ? send_end::Cancelled : send_end::Broken);
             ++call->sends;
-            if (call->cut == cut_reason::AttemptTimeOver)
-                call->cut = cut_reason::None;
-            if (mayRepeat(*call))
+            if (call->abortReason == abort_reason::AttemptTimeout)
+                call->abortReason = abort_reason::None;
+            if (mayRetry(*call))
                 continue;
             const send_failure broken{send_end::Broken, "the answer broke off"};
-            co_await m_answers.giveUp(call, broken, writer);
+            co_await m_localReplies.replyWithFailure(call, broken, writer);
             co_return;
         }
-        if (answer.size() > answer_relay::bufferedAnswer) {
-            co_await m_relay.relayRest(call, *reply, std::move(answer), writer);
+        if (answer.size() > response_relay::maxBufferedBytes) {
+            co_await m_relay.relayRemainder(call, *reply, std::move(answer), writer);
             co_return;
         }
         m_sender.finish(*call, *reply, send_end::Answered);
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -25,10 +25,10 @@
 
 /// Callers keep a look-up for its time to live, some three times as long; after that nobody comes
 /// any more who could know better.
-constexpr duration staleLookups = milliseconds(3500);
+constexpr duration lookupStaleTime = milliseconds(3500);
 /// Share of the grace time after which the process ends in any case.
 constexpr double graceShare = 0.8;
-constexpr duration drainStep = milliseconds(50);
+constexpr duration drainPollInterval = milliseconds(50);
 
 awaitable<void> shutDown(entry_control &control, entry_service &service, const host_settings &s,
                          asio::io_context &controlContext, asio::io_context &trafficContext)
@@ -37,17 +37,17 @@
     const time_point began = runtime_clock::now();
     control.leave();
     asio::post(trafficContext, [&service] { service.announceClose(); });
-    const auto latest = std::chrono::duration_cast<duration>(s.grace * graceShare);
-    spawn(trafficContext.get_executor(), "release", service.release(began + latest));
-    co_await control.unregister(began + latest);
-    const duration stale = std::min<duration>(staleLookups, latest);
-    int quietSteps = 0;
-    constexpr int enoughQuietSteps = 4;
-    while (runtime_clock::now() < began + latest) {
-        quietSteps = service.requestsInProgress() == 0 ? quietSteps + 1 : 0;
-        if (runtime_clock::now() > began + stale && quietSteps >= enoughQuietSteps)
+    const auto timeLimit = std::chrono::duration_cast<duration>(s.grace * graceShare);
+    spawn(trafficContext.get_executor(), "release", service.release(began + timeLimit));
+    co_await control.unregister(began + timeLimit);
+    const duration minDrainTime = std::min<duration>(lookupStaleTime, timeLimit);
+    int idlePolls = 0;
+    constexpr int requiredIdlePolls = 4;
+    while (runtime_clock::now() < began + timeLimit) {
+        idlePolls = service.requestsInProgress() == 0 ? idlePolls + 1 : 0;
+        if (runtime_clock::now() > began + minDrainTime && idlePolls >= requiredIdlePolls)
             break;
-        co_await sleepFor(drainStep);
+        co_await sleepFor(drainPollInterval);
     }
     logDecision(log_event::Stopped,
                 {{"in_progress", service.requestsInProgress()},
@@ -56,7 +56,7 @@
     controlContext.stop();
 }
 
-constexpr duration settingsPause = seconds(2);
+constexpr duration settingsPollInterval = seconds(2);
 
 /// \brief Takes over the settings file whenever it has changed: it may change without a signal, so
 /// it is read again now and then.
@@ -94,7 +94,7 @@
 awaitable<void> watchSettings(settings_watch &watch)
 {
     while (true) {
-        co_await sleepFor(settingsPause);
+        co_await sleepFor(settingsPollInterval);
         watch.check(false);
     }
 }
@@ -137,11 +137,11 @@
 /// \brief Writes the ports under another name first, so that nobody reads half of them.
 void writePorts(const std::string &path, std::uint16_t clientPort, const control_ports &ports)
 {
-    const std::string unfinished = path + ".part";
-    std::ofstream file(unfinished);
+    const std::string temporaryPath = path + ".part";
+    std::ofstream file(temporaryPath);
     fmt::print(file, "{} {} {} {}\n", clientPort, ports.readiness, ports.lookups, ports.peers);
     file.close();
-    if (!file || std::rename(unfinished.c_str(), path.c_str()) != 0)
+    if (!file || std::rename(temporaryPath.c_str(), path.c_str()) != 0)
         logDecision(log_event::CantListen, {{"detail", "can't write " + path}});
 }
 
@@ -168,7 +168,7 @@
     entry_metrics metrics;
     entry_service service(trafficContext, s, metrics);
     control_events events;
-    events.onRoutes = [&](const route_book_ptr &routes) {
+    events.onRoutes = [&](const routing_config_ptr &routes) {
         asio::post(trafficContext, [&service, routes] { service.setRoutes(routes); });
     };
     events.onReplicas = [&](std::vector<replica_entry> listed) {
@@ -183,20 +183,22 @@
             service.setMembers(s, o);
         });
     };
-    events.onPlaceWords = [&](std::vector<place_words> others) {
+    events.onAdmissionReports = [&](std::vector<place_words> reports) {
         asio::post(trafficContext,
-                   [&service, o = std::move(others)] { service.setOtherPlaceWords(o); });
+                   [&service, o = std::move(reports)] { service.mergeAdmissionReports(o); });
     };
-    events.onReplicaWords = [&](std::vector<replica_words> others) {
+    events.onReplicaReports = [&](std::vector<replica_words> reports) {
         asio::post(trafficContext,
-                   [&service, o = std::move(others)] { service.setOtherReplicaWords(o); });
+                   [&service, o = std::move(reports)] { service.mergeReplicaReports(o); });
     };
     entry_control control(controlContext, s, std::move(events));
-    service.onPlaceWords([&](place_words wanted) {
-        asio::post(controlContext, [&control, w = std::move(wanted)] { control.setPlaceWords(w); });
+    service.onAdmissionReports([&](place_words report) {
+        asio::post(controlContext,
+                   [&control, w = std::move(report)] { control.setAdmissionReport(w); });
     });
-    service.onReplicaWords([&](replica_words seen) {
-        asio::post(controlContext, [&control, w = std::move(seen)] { control.setReplicaWords(w); });
+    service.onReplicaReports([&](replica_words report) {
+        asio::post(controlContext,
+                   [&control, w = std::move(report)] { control.setReplicaReport(w); });
     });
     http_server metricsServer(controlContext.get_executor(), {},
                               [&](const http_request &request, response_writer &writer) {
--- /dev/null
+++ b/src/entry/response_relay.cpp
@@ -0,0 +1,178 @@
+#include "entry/response_relay.h"
+
+#include "platform/ingress.h"
+
+#include <charconv>
+#include <optional>
+
+namespace azurehill {
+
+namespace {
+
+std::optional<std::int64_t> wholeNumber(std::string_view text)
+{
+    std::int64_t value = 0;
+    const char *const end = text.data() + text.size();
+    const auto [rest, error] = std::from_chars(text.data(), end, value);
+    return error == std::errc() && rest == end ? std::optional(value) : std::nullopt;
+}
+
+/// \returns whether \p event comes at or before the event \p last. Ids grow along a stream.
+bool isRepeated(const sse_event &event, std::string_view lastEventId)
+{
+    const auto number = wholeNumber(event.id);
+    const auto lastNumber = wholeNumber(lastEventId);
+    return number && lastNumber && *number <= *lastNumber;
+}
+
+/// \returns how a send ended whose answer was not relayed whole.
+send_end incompleteSendEnd(const entry_call &call, bool isClientConnected)
+{
+    if (call.clientDisconnected() || !isClientConnected
+        || call.abortReason == abort_reason::DeadlineExceeded)
+        return send_end::Cancelled;
+    return call.abortReason == abort_reason::ReplicaSilent ? send_end::Silent : send_end::Broken;
+}
+
+} // namespace
+
+response_relay::response_relay(upstream_sender &sender, replica_board &board,
+                               engine_admission &admission, local_reply_writer &localReplies,
+                               entry_metrics &metrics)
+    : m_sender(sender), m_board(board), m_engineAdmission(admission), m_localReplies(localReplies),
+      m_metrics(metrics)
+{ }
+
+awaitable<bool> response_relay::readBody(entry_call_ptr call, open_reply &reply, std::string &body)
+{
+    while (body.size() <= maxBufferedBytes) {
+        const auto chunk = co_await reply.connection->readSome(call->deadline);
+        if (!chunk)
+            co_return false;
+        if (chunk->empty())
+            co_return true;
+        call->lastByteAt = runtime_clock::now();
+        body += *chunk;
+    }
+    co_return true;
+}
+
+awaitable<void> response_relay::relayRemainder(entry_call_ptr call, open_reply &reply,
+                                               std::string prefix, response_writer &writer)
+{
+    header_list headers = replyHeaders(reply.head);
+    call->responseStarted = true;
+    bool isClientConnected = co_await writer.begin(reply.head.status, std::move(headers));
+    bool isComplete = false;
+    std::string chunk = std::move(prefix);
+    while (isClientConnected) {
+        isClientConnected = co_await writer.writeChunk(chunk);
+        auto next = co_await reply.connection->readSome(call->deadline);
+        if (!next)
+            break;
+        isComplete = next->empty();
+        if (isComplete)
+            break;
+        chunk = std::move(*next);
+    }
+    if (isClientConnected && isComplete)
+        isClientConnected = co_await writer.end();
+    m_sender.finish(*call, reply,
+                    isClientConnected && isComplete ? send_end::Answered
+                                                    : incompleteSendEnd(*call, isClientConnected));
+}
+
+awaitable<void> response_relay::relayNonStream(entry_call_ptr call, open_reply reply,
+                                               response_writer &writer)
+{
+    std::string body;
+    const bool isComplete = co_await readBody(call, reply, body);
+    m_sender.finish(*call, reply, isComplete ? send_end::Answered : send_end::Broken);
+    if (!isComplete) {
+        const send_failure broken{send_end::Broken, "the answer broke off"};
+        co_await m_localReplies.replyWithFailure(call, broken, writer);
+        co_return;
+    }
+    http_response response{reply.head.status, replyHeaders(reply.head), std::move(body)};
+    co_await writer.write(std::move(response));
+}
+
+void response_relay::recordEventInterval(const entry_call &call, std::int64_t events,
+                                         time_point firstAt)
+{
+    // Fewer say more about how the answer was cut into packets than about the engine.
+    constexpr std::int64_t enoughEvents = 4;
+    m_metrics.onPhase(call.route->name, request_phase::Events, call.lastByteAt - firstAt);
+    if (events < enoughEvents)
+        return;
+    const std::chrono::duration<double, std::milli> span = call.lastByteAt - firstAt;
+    m_engineAdmission.onEventInterval(call.service, span.count() / double(events - 1),
+                                      call.lastByteAt);
+}
+
+std::string response_relay::parseChunk(entry_call &call, sse_reader &events,
+                                       const std::string &chunk, stream_result &stream)
+{
+    std::string completeEvents;
+    events.feed(chunk);
+    while (auto event = events.nextEvent()) {
+        if (call.route->isResumable && isRepeated(*event, call.lastEventId))
+            continue;
+        if (!event->id.empty())
+            call.lastEventId = event->id;
+        completeEvents += event->raw;
+        if (!event->data)
+            continue;
+        ++stream.events;
+        stream.output += *event->data;
+        stream.output += '\n';
+    }
+    return call.route->isResumable ? completeEvents : chunk;
+}
+
+awaitable<stream_result> response_relay::relayStream(entry_call_ptr call, open_reply &reply,
+                                                     response_writer &writer)
+{
+    stream_result stream;
+    header_list headers = replyHeaders(reply.head);
+    call->responseStarted = true;
+    call->lastEventId = call->request.lastEventId;
+    stream.isClientConnected = co_await writer.begin(reply.head.status, std::move(headers));
+    co_await relayContinuation(call, reply, stream, writer);
+    co_return stream;
+}
+
+awaitable<void> response_relay::relayContinuation(entry_call_ptr call, open_reply &reply,
+                                                  stream_result &stream, response_writer &writer)
+{
+    std::optional<time_point> firstAt;
+    sse_reader events;
+    const std::int64_t eventsBefore = stream.events;
+    while (stream.isClientConnected && !events.isTooLong()) {
+        auto chunk = co_await reply.connection->readSome(call->deadline);
+        if (!chunk)
+            break;
+        if (chunk->empty()) {
+            stream.isComplete = true;
+            break;
+        }
+        call->lastByteAt = runtime_clock::now();
+        if (!firstAt) {
+            firstAt = call->lastByteAt;
+            m_metrics.onPhase(call->route->name, request_phase::FirstByte, *firstAt - call->sentAt);
+        }
+        m_board.onHeard(reply.where.replica.incarnation, call->lastByteAt);
+        const std::string bytes = parseChunk(*call, events, *chunk, stream);
+        if (!bytes.empty())
+            stream.isClientConnected = co_await writer.writeChunk(bytes);
+    }
+    if (stream.isComplete && call->route->isResumable && !events.unfinished().empty())
+        stream.isClientConnected = co_await writer.writeChunk(events.unfinished());
+    if (firstAt)
+        recordEventInterval(*call, stream.events - eventsBefore, *firstAt);
+    m_sender.finish(*call, reply,
+                    stream.isComplete ? send_end::Answered
+                                      : incompleteSendEnd(*call, stream.isClientConnected));
+}
+
+} // namespace azurehill
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -14,42 +14,43 @@
 /// third of the new connections of a calm day replaced ones that had run out.
 constexpr duration maxIdle = seconds(20);
 /// A request that may run once only and is lost on such a connection can't be sent again.
-constexpr duration maxIdleForOnce = seconds(6);
+constexpr duration maxIdleNonIdempotent = seconds(6);
 constexpr std::size_t maxIdlePerReplica = 32;
 /// Replicas are a few milliseconds away. A lost opening packet is sent again after a second, by
 /// which time another replica has long answered.
-constexpr duration connectTime = milliseconds(300);
+constexpr duration connectTimeout = milliseconds(300);
 /// A replica that shows no sign of life on any connection for this long may be dead. It may also
 /// have many requests to work on, or have preempted this one.
-constexpr duration silenceTime = milliseconds(1200);
+constexpr duration silenceTimeout = milliseconds(1200);
 /// Replicas that refuse are no attempts, but somewhere the search must end.
 constexpr int maxRefusals = 4;
 /// Least time for one attempt of an idempotent request, and its share of the time that is left.
-constexpr duration leastAttemptTime = milliseconds(250);
-constexpr int attemptsInTime = 3;
+constexpr duration minAttemptTimeout = milliseconds(250);
+constexpr int attemptsPerDeadline = 3;
 
 /// Least status of a failure of the replica's own.
-constexpr int leastFailure = 500;
+constexpr int minFailureStatus = 500;
 
-duration attemptTime(const entry_call &call, const replica_board &board, time_point now)
+duration attemptTimeout(const entry_call &call, const replica_board &board, time_point now)
 {
-    const duration share = (call.deadline - now) / attemptsInTime;
+    const duration evenShare = (call.deadline - now) / attemptsPerDeadline;
     const auto typical = board.typicalWait(call.service);
-    const duration wanted = typical ? std::max<duration>(2 * *typical, leastAttemptTime) : share;
-    return std::min(wanted, std::max<duration>(share, leastAttemptTime));
+    const duration preferred
+        = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : evenShare;
+    return std::min(preferred, std::max<duration>(evenShare, minAttemptTimeout));
 }
 
 send_end endOf(const entry_call &call, const http_error &error)
 {
-    switch (call.cut) {
-    case cut_reason::ClientLeft:
-    case cut_reason::TimeOver:
+    switch (call.abortReason) {
+    case abort_reason::ClientDisconnected:
+    case abort_reason::DeadlineExceeded:
         return send_end::Cancelled;
-    case cut_reason::ReplicaSilent:
+    case abort_reason::ReplicaSilent:
         return send_end::Silent;
-    case cut_reason::AttemptTimeOver:
+    case abort_reason::AttemptTimeout:
         return send_end::Broken;
-    case cut_reason::None:
+    case abort_reason::None:
         break;
     }
     return error.kind == http_error_kind::TimedOut ? send_end::Cancelled : send_end::Broken;
@@ -57,16 +58,16 @@
 
 } // namespace
 
-placement_request placementOf(const entry_call &call)
+placement_request placementRequestFor(const entry_call &call)
 {
-    placement_request wanted;
-    wanted.service = call.service;
-    wanted.parts = call.request.promptParts;
+    placement_request result;
+    result.service = call.service;
+    result.parts = call.request.promptParts;
     if (call.request.tokens)
-        wanted.promptTokens = call.request.tokens->prompt;
+        result.promptTokens = call.request.tokens->prompt;
     if (call.route->sessionAffinity)
-        wanted.affinityKey = call.request.affinityKey;
-    return wanted;
+        result.affinityKey = call.request.affinityKey;
+    return result;
 }
 
 upstream_sender::upstream_sender(const asio::any_io_executor &executor, replica_board &board,
@@ -79,9 +80,9 @@
 {
     if (call.route->kind != route_kind::Stream)
         return false;
-    const time_point heard = std::max(
+    const time_point lastActivity = std::max(
         {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastHeard(call.replica)});
-    return now - heard > std::max<duration>(silenceTime, 2 * call.route->eventGap);
+    return now - lastActivity > std::max<duration>(silenceTimeout, 2 * call.route->maxEventGap);
 }
 
 bool upstream_sender::isStillAllowed(const entry_call &call) const
@@ -91,108 +92,111 @@
     const route_rule *const route = m_routes->find(call.request.hostname, call.path);
     if (!route)
         return false;
-    const access now = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
-    const account_id holder = now.account ? now.account->name : account_id();
-    return now.verdict == access_verdict::Allowed && holder == call.accountName();
+    const access current = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
+    const account_id holder = current.account ? current.account->name : account_id();
+    return current.verdict == access_verdict::Allowed && holder == call.accountName();
 }
 
-void upstream_sender::dropConnections(const replica_entry &ended)
+void upstream_sender::dropConnections(const replica_entry &replaced)
 {
-    m_pool.drop(ended.address);
+    m_pool.drop(replaced.address);
 }
 
 void upstream_sender::sweep(time_point now)
 {
     m_pool.expire(now);
-    const std::set<entry_call_ptr> calls = m_underWay;
+    const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
-        if (call->cut != cut_reason::None)
+        if (call->abortReason != abort_reason::None)
             continue;
         if (now >= call->deadline)
-            call->cutOff(cut_reason::TimeOver);
+            call->abortSend(abort_reason::DeadlineExceeded);
         else if (call->attemptDeadline && now >= *call->attemptDeadline)
-            call->cutOff(cut_reason::AttemptTimeOver);
+            call->abortSend(abort_reason::AttemptTimeout);
         else if (isSilent(*call, now))
-            checkLife(*call);
+            probeReplica(*call);
     }
 }
 
-void upstream_sender::checkLife(const entry_call &call)
+void upstream_sender::probeReplica(const entry_call &call)
 {
-    if (m_checked.insert(call.replica).second)
-        spawn(m_executor, "connectToSilent", connectToSilent(call.replica, call.replicaAddress));
+    if (m_probedReplicas.insert(call.replica).second)
+        spawn(m_executor, "connectToSilent", probeByConnecting(call.replica, call.replicaAddress));
 }
 
-awaitable<void> upstream_sender::connectToSilent(replica_incarnation who, endpoint address)
+awaitable<void> upstream_sender::probeByConnecting(replica_incarnation who, endpoint address)
 {
     http_connection connection(m_executor);
-    const auto connected = co_await connection.connect(address, runtime_clock::now() + connectTime);
+    const auto connected
+        = co_await connection.connect(address, runtime_clock::now() + connectTimeout);
     const time_point now = runtime_clock::now();
-    m_checked.erase(who);
+    m_probedReplicas.erase(who);
     logDecision(log_event::SilenceChecked,
                 {{"replica", who.id.value}, {"alive", connected.has_value()}});
-    const std::set<entry_call_ptr> calls = m_underWay;
+    const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
-        if (call->replica != who || call->cut != cut_reason::None)
+        if (call->replica != who || call->abortReason != abort_reason::None)
             continue;
         if (connected)
             call->replicaAliveAt = now;
         else if (isSilent(*call, now))
-            call->cutOff(cut_reason::ReplicaSilent);
+            call->abortSend(abort_reason::ReplicaSilent);
     }
     if (connected)
         m_pool.give(address, std::move(connection), now);
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
-upstream_sender::sendOnce(entry_call_ptr call, placement where, const placement_request &wanted,
-                          const http_request &original, std::string body)
+upstream_sender::sendOnce(entry_call_ptr call, placement where,
+                          const placement_request &placementRequest, const http_request &original,
+                          std::string body)
 {
     const endpoint address = where.replica.address;
-    const bool once = call->route->kind == route_kind::NonIdempotent;
-    auto connection = std::make_shared<http_connection>(
-        m_pool.take(address, runtime_clock::now(), once ? maxIdleForOnce : maxIdle));
+    const bool isNonIdempotent = call->route->kind == route_kind::NonIdempotent;
+    auto connection = std::make_shared<http_connection>(m_pool.take(
+        address, runtime_clock::now(), isNonIdempotent ? maxIdleNonIdempotent : maxIdle));
     call->connection = connection.get();
     call->replica = where.replica.incarnation;
     call->replicaAddress = address;
     call->sentAt = runtime_clock::now();
     call->lastByteAt = call->sentAt;
     call->attemptDeadline.reset();
-    m_board.onSent(where, wanted, call->sentAt);
-    m_underWay.insert(call);
+    m_board.onSent(where, placementRequest, call->sentAt);
+    m_inFlight.insert(call);
     open_reply reply{where, {}, connection};
 
     const bool isNew = !connection->isReusable();
     if (isNew) {
-        const time_point until = std::min(call->deadline, call->sentAt + connectTime);
+        const time_point until = std::min(call->deadline, call->sentAt + connectTimeout);
         const auto connected = co_await connection->connect(address, until);
         if (!connected) {
-            finish(*call, reply, call->clientLeft() ? send_end::Cancelled : send_end::Unreachable);
+            finish(*call, reply,
+                   call->clientDisconnected() ? send_end::Cancelled : send_end::Unreachable);
             co_return tl::unexpected(send_failure{send_end::Unreachable, connected.error().detail});
         }
     }
-    if (call->clientLeft()) {
+    if (call->clientDisconnected()) {
         finish(*call, reply, send_end::Cancelled);
         co_return tl::unexpected(send_failure{send_end::Cancelled, "the client left"});
     }
     const time_point now = runtime_clock::now();
     if (call->route->kind == route_kind::Idempotent)
-        call->attemptDeadline = now + attemptTime(*call, m_board, now);
-    const forward_fields fields{where.replica.incarnation.id, call->deadline - now,
-                                call->rank.urgency,           !call->routes->accounts().empty(),
-                                call->accountName(),          call->lastEventId};
+        call->attemptDeadline = now + attemptTimeout(*call, m_board, now);
+    const forward_headers fields{where.replica.incarnation.id, call->deadline - now,
+                                 call->rank.urgency,           !call->routes->accounts().empty(),
+                                 call->accountName(),          call->lastEventId};
     http_request out = encodeForward(original, fields, std::move(body));
     logDecision(log_event::Sent,
                 {{"request", call->request.id},
                  {"program", call->request.program.value},
-                 {"attempt", std::int64_t(wanted.tried.size())},
+                 {"attempt", std::int64_t(placementRequest.tried.size())},
                  {"replica", where.replica.incarnation.id.value},
                  {"outstanding", std::int64_t(where.outstanding)},
                  {"candidates", std::int64_t(where.candidates)},
                  {"finish_ms",
-                  call->request.programFinish ? toMilliseconds(*call->request.programFinish)
-                                              : std::int64_t(-1)},
-                 {"prompt_tokens", wanted.promptTokens},
+                  call->request.programTimeLeft ? toMilliseconds(*call->request.programTimeLeft)
+                                                : std::int64_t(-1)},
+                 {"prompt_tokens", placementRequest.promptTokens},
                  {"cached_tokens", where.cachedTokens},
                  {"cost_ms", where.cost},
                  {"new_connection", isNew},
@@ -202,8 +206,8 @@
     if (!head) {
         // Only a request of which no byte left did certainly not run.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
-        const send_end end
-            = didNotRun && !call->clientLeft() ? send_end::NotRun : endOf(*call, head.error());
+        const send_end end = didNotRun && !call->clientDisconnected() ? send_end::NotRun
+                                                                      : endOf(*call, head.error());
         if (!didNotRun)
             call->mayHaveRun = true;
         finish(*call, reply, end);
@@ -213,8 +217,9 @@
     const reply_kind kind = judgeReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
         // The time of a failure says nothing of how long answers take.
-        if (head->status < leastFailure)
-            m_board.onFirstByte(where, wanted, call->lastByteAt - call->sentAt, call->lastByteAt);
+        if (head->status < minFailureStatus)
+            m_board.onFirstByte(where, placementRequest, call->lastByteAt - call->sentAt,
+                                call->lastByteAt);
         call->mayHaveRun = true;
         reply.head = std::move(*head);
         co_return reply;
@@ -229,8 +234,8 @@
         m_board.setLeaving(where.replica.incarnation);
     // The rest of a refusal is read so that the connection can be used again.
     while (true) {
-        const auto piece = co_await connection->readSome(call->deadline);
-        if (!piece || piece->empty())
+        const auto chunk = co_await connection->readSome(call->deadline);
+        if (!chunk || chunk->empty())
             break;
     }
     finish(*call, reply, send_end::NotRun);
@@ -240,17 +245,17 @@
 void upstream_sender::finish(entry_call &call, open_reply &reply, send_end end)
 {
     const time_point now = runtime_clock::now();
-    if (end == send_end::Answered && reply.head.status >= leastFailure)
+    if (end == send_end::Answered && reply.head.status >= minFailureStatus)
         end = send_end::Failed;
     m_board.onDone(reply.where, end, now);
     call.connection = nullptr;
     call.attemptDeadline.reset();
-    std::erase_if(m_underWay, [&](const entry_call_ptr &c) { return c.get() == &call; });
+    std::erase_if(m_inFlight, [&](const entry_call_ptr &c) { return c.get() == &call; });
     // A connection to a process that is over is dead, and the next request on it would be cut off.
-    const bool isOver = m_board.isReplaced(reply.where.replica.incarnation);
-    const bool isEnded
+    const bool isReplaced = m_board.isReplaced(reply.where.replica.incarnation);
+    const bool isAnswerRead
         = end == send_end::Answered || end == send_end::Failed || end == send_end::NotRun;
-    const bool keep = !isOver && isEnded;
+    const bool keep = !isReplaced && isAnswerRead;
     if (keep)
         m_pool.give(reply.where.replica.address, std::move(*reply.connection), now);
     else
@@ -266,29 +271,29 @@
          {"status",
           std::int64_t(end == send_end::Answered || end == send_end::Failed ? reply.head.status
                                                                             : 0)},
-         {"cut", std::string(toName(call.cut))},
+         {"cut", std::string(toName(call.abortReason))},
          {"ms", toMilliseconds(now - call.sentAt)}});
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
-upstream_sender::open(entry_call_ptr call, placement_request &wanted, const http_request &original,
-                      std::string body)
+upstream_sender::open(entry_call_ptr call, placement_request &placementRequest,
+                      const http_request &original, std::string body)
 {
     send_failure last{send_end::Unreachable, "no replica may take requests"};
     int refusals = 0;
-    while (runtime_clock::now() < call->deadline && !call->clientLeft()) {
+    while (runtime_clock::now() < call->deadline && !call->clientDisconnected()) {
         if (!isStillAllowed(*call)) {
             last = {send_end::NotRun, "the key or the route was taken away"};
             break;
         }
         if (call->sends >= call->route->maxAttempts || refusals > maxRefusals)
             break;
-        const auto where = m_board.choose(wanted, runtime_clock::now());
+        const auto where = m_board.choose(placementRequest, runtime_clock::now());
         if (!where)
             break;
-        wanted.tried.insert(where->replica.incarnation);
+        placementRequest.tried.insert(where->replica.incarnation);
         std::string copy = body;
-        auto reply = co_await sendOnce(call, *where, wanted, original, std::move(copy));
+        auto reply = co_await sendOnce(call, *where, placementRequest, original, std::move(copy));
         if (reply)
             co_return reply;
         last = reply.error();
@@ -297,37 +302,37 @@
             continue;
         }
         ++call->sends;
-        const bool mayRepeat
+        const bool mayRetry
             = call->route->kind == route_kind::Idempotent || call->route->isResumable;
-        if (call->cut == cut_reason::AttemptTimeOver && mayRepeat)
-            call->cut = cut_reason::None;
-        if (!mayRepeat || call->cut != cut_reason::None)
+        if (call->abortReason == abort_reason::AttemptTimeout && mayRetry)
+            call->abortReason = abort_reason::None;
+        if (!mayRetry || call->abortReason != abort_reason::None)
             break;
     }
     co_return tl::unexpected(last);
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
-upstream_sender::resume(entry_call_ptr call, placement_request &wanted, placement broken,
+upstream_sender::resume(entry_call_ptr call, placement_request &placementRequest, placement broken,
                         const http_request &original, std::string body)
 {
-    call->cut = cut_reason::None;
+    call->abortReason = abort_reason::None;
     ++call->sends;
-    bool hasEnded = !m_board.isListed(broken.replica.incarnation);
-    if (!hasEnded && call->sends >= call->route->maxAttempts) {
+    bool isUnlisted = !m_board.isListed(broken.replica.incarnation);
+    if (!isUnlisted && call->sends >= call->route->maxAttempts) {
         // No other replica may be asked as long as this one lives.
         std::string copy = body;
-        auto again = co_await sendOnce(call, broken, wanted, original, std::move(copy));
+        auto again = co_await sendOnce(call, broken, placementRequest, original, std::move(copy));
         if (again)
             co_return again;
-        hasEnded = again.error().end == send_end::Unreachable
+        isUnlisted = again.error().end == send_end::Unreachable
             || !m_board.isListed(broken.replica.incarnation);
-        if (!hasEnded)
+        if (!isUnlisted)
             co_return again;
     }
-    if (hasEnded)
+    if (isUnlisted)
         --call->sends;
-    co_return co_await open(call, wanted, original, std::move(body));
+    co_return co_await open(call, placementRequest, original, std::move(body));
 }
 
 } // namespace azurehill
--- a/src/lending/credit_exchange.h
+++ b/src/lending/credit_exchange.h
@@ -32,7 +32,7 @@
 
     /// \brief Binds \p address for other daemons' datagrams. \returns the port, or 0.
     std::uint16_t start(const endpoint &address);
-    void setRoutes(route_book_ptr routes) { m_lender.setRoutes(std::move(routes)); }
+    void setRoutes(routing_config_ptr routes) { m_lender.setRoutes(std::move(routes)); }
     /// \brief Takes in this daemon's word of itself and the others that live.
     void setMembers(member_state self, std::vector<member_state> others);
 
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -20,7 +20,7 @@
                   const quota_bound &bound);
 
     /// \brief Takes in the configuration in force.
-    void setRoutes(route_book_ptr routes);
+    void setRoutes(routing_config_ptr routes);
     /// \returns the answer to \p request; nothing while it can't be told, and the asker has to ask
     /// again.
     std::optional<quota_message> answer(const credit_request &request);
@@ -68,7 +68,7 @@
     store &m_store;
     const lender_view &m_view;
     quota_bound m_bound;
-    route_book_ptr m_routes;
+    routing_config_ptr m_routes;
     /// Shards with accounts that have a quota.
     std::array<bool, quotaShards> m_used{};
     std::map<std::size_t, shard_state> m_shards;
--- a/test/io/callers_history_test.cpp
+++ b/test/io/client_history_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 // doctest's macros are used by the world.
-#include "entry_world.h"
+#include "entry_fixture.h"
 #include "model_store.h"
 
 #include <rapidcheck.h>
@@ -59,7 +59,7 @@
     // Guards against programs that spend many times their budget where no history is kept.
     TEST_CASE("a budget holds")
     {
-        entry_world w;
+        entry_fixture w;
         w.model.script = {scripted_replica::stream(5)};
         CHECK(statusOf(w.chat("t1", "one;", 45)) == 200);
 
@@ -84,7 +84,7 @@
     // Guards against a write of the store at each end, and against holds that use up a budget.
     TEST_CASE("ends are settled once half of the budget is committed")
     {
-        entry_world w;
+        entry_fixture w;
         int writes = 0;
         w.store.nextTrouble = [&](std::string_view path) {
             writes += path == "/azurehill/rows-tx" ? 1 : 0;
@@ -112,7 +112,7 @@
     // Guards against tokens of a broken answer that are not charged.
     TEST_CASE("a turn that broke off is charged what was handed out")
     {
-        entry_world w;
+        entry_fixture w;
         std::string broken = scripted_replica::stream(5);
         broken.resize(broken.size() - 5);
         w.model.script = {broken + "<close>", "", "", ""};
@@ -123,7 +123,7 @@
     // Guards against a budget that shrinks by turns that never ran.
     TEST_CASE("a turn that no replica ran costs nothing")
     {
-        entry_world w;
+        entry_fixture w;
         const std::string refusal = "HTTP/1.1 503 Service Unavailable\r\n"
                                     "X-Azurehill-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
         for (int i = 0; i < 3; ++i) {
@@ -137,7 +137,7 @@
     // Guards against turns that run unheld while the store is away.
     TEST_CASE("no turn runs that the store did not hold")
     {
-        entry_world w;
+        entry_fixture w;
         w.store.nextTrouble = [](std::string_view) { return store_trouble::Unavailable; };
         CHECK(statusOf(w.chat("t1", "one;")) == 503);
         CHECK(w.model.arrived.empty());
@@ -146,7 +146,7 @@
     // Guards against a prompt that the daemon adds to or takes from.
     TEST_CASE("the replica reads what the caller sent")
     {
-        entry_world w;
+        entry_fixture w;
         w.model.script = {scripted_replica::stream(1), scripted_replica::stream(1)};
         CHECK(statusOf(w.chat("t1", "one;")) == 200);
         CHECK(statusOf(w.chat("t2", "one;e1;two;")) == 200);
--- a/test/io/platform_codec_test.cpp
+++ b/test/io/platform_codec_test.cpp
@@ -201,10 +201,10 @@
                            {"X-Azurehill-Previous-Turn", "t0"},
                            {"Cookie", "a=b; X-Azurehill-Affinity-Key=17; c=d"}}));
         REQUIRE(r);
-        CHECK(r->patience == seconds(6));
-        CHECK(r->programFinish == milliseconds(-20));
+        CHECK(r->clientTimeout == seconds(6));
+        CHECK(r->programTimeLeft == milliseconds(-20));
         CHECK(r->tokenBudget == 1088);
-        CHECK(r->tokens->mostOutput == 136);
+        CHECK(r->tokens->maxOutputTokens == 136);
         REQUIRE(r->promptParts.size() == 2);
         CHECK(r->promptParts[1].id == "91bd");
         CHECK(r->promptParts[1].tokens == 410);
@@ -215,7 +215,7 @@
             const auto odd = decodeClientRequest(clientRequest(
                 {{"X-Azurehill-Request-Deadline", "soon"}, {"X-Azurehill-Prompt-Prefix", "x"}}));
             REQUIRE(odd);
-            CHECK_FALSE(odd->patience);
+            CHECK_FALSE(odd->clientTimeout);
             CHECK(odd->promptParts.empty());
         }
         SUBCASE("numbers of tokens that make no sense are refused")
@@ -237,8 +237,8 @@
                 clientRequest({{"X-Azurehill-Request-Deadline", "9223372036854775807"},
                                {"X-Azurehill-Finish-Ms", "-9223372036854775807"}}));
             REQUIRE(odd);
-            CHECK(odd->patience == std::chrono::hours(24));
-            CHECK(odd->programFinish == -std::chrono::hours(24));
+            CHECK(odd->clientTimeout == std::chrono::hours(24));
+            CHECK(odd->programTimeLeft == -std::chrono::hours(24));
         }
         SUBCASE("no header text makes it fail otherwise than with an error")
         {
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -1,4 +1,4 @@
-#include "entry_world.h"
+#include "entry_fixture.h"
 #include "model_store.h"
 #include "turns/turns.h"
 
@@ -75,7 +75,7 @@
             // after 0 to 1 ms. For each of them a write went on being tried, though the store had
             // said of every call that nothing was done; all of these writes met the store in the
             // second of its return, together with the turns that came back.
-            entry_world w;
+            entry_fixture w;
             int writes = 0;
             w.store.nextTrouble = [&](std::string_view path) {
                 writes += path == "/azurehill/rows-tx" ? 1 : 0;
--- a/test/process/entry_test.cpp
+++ b/test/process/entry_test.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds patience(20'000);
+constexpr std::chrono::milliseconds testTimeout(20'000);
 
 constexpr const char *configuration = R"({"version":7,"routes":[
   {"name":"r","hostname":"h.example","prefix":"/a/","route_type":"idempotent","timeout_ms":20000,
@@ -29,10 +29,10 @@
   "services":[{"name":"tools","max_connections":10}],"limits":{}})";
 
 /// \brief A store and a replica on a thread of their own, for one azurehill-entry.
-class platform_world
+class platform_fixture
 {
 public:
-    platform_world()
+    platform_fixture()
         : m_store(m_context.get_executor(), m_rows),
           m_replica(
               m_context.get_executor(), {},
@@ -48,13 +48,13 @@
         writeSettings(8);
         m_thread = std::thread([this] { m_context.run(); });
     }
-    ~platform_world()
+    ~platform_fixture()
     {
         m_context.stop();
         m_thread.join();
     }
-    platform_world(const platform_world &) = delete;
-    platform_world &operator=(const platform_world &) = delete;
+    platform_fixture(const platform_fixture &) = delete;
+    platform_fixture &operator=(const platform_fixture &) = delete;
 
     void writeSettings(int graceSeconds)
     {
@@ -154,7 +154,7 @@
         request.headers.add("X-Azurehill-Request-Id", "r1");
         endpoint peer{"127.0.0.1", port};
         const auto result = co_await exchangeOnce(std::move(peer), std::move(request),
-                                                  runtime_clock::now() + patience);
+                                                  runtime_clock::now() + testTimeout);
         if (result)
             answer = *result;
     };
@@ -163,7 +163,7 @@
     return answer;
 }
 
-bool isReady(const platform_world &world)
+bool isReady(const platform_fixture &world)
 {
     const std::uint16_t port = world.ports()[1];
     return port != 0 && get(port, "/azurehill/ready").status == 200;
@@ -175,9 +175,9 @@
 {
     TEST_CASE("it serves once it knows the configuration and the replicas")
     {
-        platform_world world;
+        platform_fixture world;
         child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
         const auto ports = world.ports();
         CHECK(get(ports[0], "/a/x").body == "whole");
         const std::string addresses
@@ -190,7 +190,7 @@
             // settings: the signal that announces them ended the process.
             world.writeSettings(9);
             entry.signal(SIGHUP);
-            CHECK(holdsWithin(patience, [&] {
+            CHECK(holdsWithin(testTimeout, [&] {
                 return entry.log().find(R"("event":"reloaded")") != std::string::npos;
             }));
             CHECK_FALSE(entry.exitStatus());
@@ -203,14 +203,14 @@
             world.mayAnswer = false;
             http_response answer;
             std::thread caller([&] { answer = get(ports[0], "/a/slow"); });
-            CHECK(holdsWithin(patience, [&] { return world.arrived == 2; }));
+            CHECK(holdsWithin(testTimeout, [&] { return world.arrived == 2; }));
             entry.signal(SIGTERM);
-            CHECK(holdsWithin(patience, [&] { return !isReady(world); }));
+            CHECK(holdsWithin(testTimeout, [&] { return !isReady(world); }));
             CHECK_FALSE(entry.exitStatus());
             world.mayAnswer = true;
             caller.join();
             CHECK(answer.body == "whole");
-            CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+            CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
             CHECK(entry.exitStatus() == 0);
         }
     }
@@ -220,14 +220,14 @@
         // In a rolling restart beside a silent store, each daemon logged "not_unregistered",
         // "deadline passed" a second after SIGTERM. Its row in the store was waited for whatever
         // the grace time, so a daemon with one of a second was killed in the middle of its answers.
-        platform_world world;
+        platform_fixture world;
         constexpr int graceSeconds = 1;
         world.writeSettings(graceSeconds);
         child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
         world.isStoreSilent = true;
         entry.signal(SIGTERM);
-        CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+        CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 0);
         const std::string log = entry.log();
         CHECK(log.find("not_unregistered") != std::string::npos);
@@ -242,21 +242,21 @@
     {
         // A replica drained for planned work, crashed, and came back under its id. Its requests
         // went unserved for the rest of the day: the daemons remembered that it was leaving.
-        platform_world world;
+        platform_fixture world;
         child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
         const auto isServed = [&] { return get(world.ports()[0], "/a/x").body == "whole"; };
         REQUIRE(isServed());
-        world.writeReplica("draining", platform_world::bornFirst, 2);
-        REQUIRE(holdsWithin(patience, [&] { return !isServed(); }));
-        world.writeReplica("ready", platform_world::bornFirst + 5000, 1);
-        CHECK(holdsWithin(patience, isServed));
+        world.writeReplica("draining", platform_fixture::bornFirst, 2);
+        REQUIRE(holdsWithin(testTimeout, [&] { return !isServed(); }));
+        world.writeReplica("ready", platform_fixture::bornFirst + 5000, 1);
+        CHECK(holdsWithin(testTimeout, isServed));
 
         SUBCASE("and a last word of its old process, written late, changes nothing")
         {
-            world.writeReplica("draining", platform_world::bornFirst, 3);
+            world.writeReplica("draining", platform_fixture::bornFirst, 3);
             world.writeRow({"servers", "", "i-2"}, "not a replica");
-            CHECK(holdsWithin(patience, [&] {
+            CHECK(holdsWithin(testTimeout, [&] {
                 return entry.log().find("replica_row_unreadable") != std::string::npos;
             }));
             CHECK(isServed());
@@ -267,14 +267,14 @@
     {
         // A collector of logs stopped reading, the pipe filled up, and every daemon of the host
         // stood still in the middle of its answers until the collector was restarted.
-        platform_world world;
+        platform_fixture world;
         const std::string log = world.folder.path() + "/entry.log";
         constexpr mode_t ownerOnly = 0600;
         REQUIRE(mkfifo(log.c_str(), ownerOnly) == 0);
         const int unread = open(log.c_str(), O_RDWR | O_CLOEXEC);
         REQUIRE(unread >= 0);
         child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
         // Some 700 bytes a request: many times what the pipe takes, and more than the buffer.
         constexpr int requests = 2000;
         int whole = 0;
@@ -282,17 +282,17 @@
             ++whole;
         CHECK(whole == requests);
         entry.signal(SIGTERM);
-        CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+        CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 0);
         close(unread);
     }
 
     TEST_CASE("settings that can't be used are named, and it does not start")
     {
-        platform_world world;
+        platform_fixture world;
         std::ofstream(world.settingsPath()) << "ip = 3\n";
         child entry = world.startEntry();
-        CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+        CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 2);
         CHECK(entry.log().find("node_name must be a text") != std::string::npos);
     }
