--- a/src/entry/client_request.h
+++ b/src/entry/client_request.h
@@ -12,65 +12,65 @@
 
 namespace azurehill {
 
-/// \brief Tokens that a model request says it needs.
+/// \brief Tokens that a model request declares.
 struct token_demand
 {
     std::int64_t prompt = 0;
-    /// Most tokens that the answer may have.
+    /// Maximum number of tokens of the answer.
     std::int64_t maxOutputTokens = 0;
 };
 
-/// \brief A client's request as far as the daemon acts on it.
+/// \brief The fields of a client's request that the daemon uses.
 struct client_request
 {
-    /// Id of this attempt; another attempt at the same has another id.
+    /// Id of this attempt; a retry of the same request has another id.
     std::string id;
     std::string hostname;
-    /// How long the client waits from now on.
+    /// How long the client still waits.
     std::optional<duration> clientTimeout;
-    /// Whose request it is, as far as it says.
+    /// Credential that the request presents.
     credential key;
-    /// Names the object that the request is about, or empty.
+    /// Affinity key: names the object that the request is about, or empty.
     std::string affinityKey;
     program_id program;
-    /// The line of turns within the program that the request belongs to, or empty.
+    /// The sequence of turns within the program that the request belongs to, or empty.
     std::string session;
-    /// Time until the program should be finished.
+    /// Time left until the program should be finished.
     std::optional<duration> programTimeLeft;
-    /// Tokens that all turns of the program may generate.
+    /// Maximum number of tokens that all turns of the program may generate.
     std::optional<std::int64_t> tokenBudget;
     std::optional<token_demand> tokens;
     std::vector<prompt_part> promptParts;
     /// The turn that this one continues from, or empty.
     turn_id previousTurn;
-    /// The last event that the client has of a stream that it goes on with, or empty.
+    /// Id of the last event that the client has of a stream that it resumes, or empty.
     std::string lastEventId;
 };
 
-/// \brief What the daemon adds to a request on its way to a replica.
+/// \brief Header fields that the daemon adds to a request that it forwards to a replica.
 struct forward_headers
 {
     upstream_id replica;
-    /// Time after which the client no longer waits.
+    /// Time until the client stops waiting.
     duration timeLeft = duration::zero();
-    /// Urgency for the replica, 0 first.
+    /// Priority at the replica; 0 is the most urgent.
     int urgency = 5;
-    /// Whether accounts are in force: the client's key then stays here.
+    /// Whether accounts are in force: the client's key is then not forwarded.
     bool stripsClientKey = false;
     /// The account that the request belongs to, or empty.
     account_id account;
-    /// The last event that the client has, if the stream goes on after it; empty for a new stream,
-    /// or one that the client itself goes on with.
+    /// Id of the last event that the client has, if the daemon resumes the stream after it; empty
+    /// for a new stream, or one that the client itself resumes.
     std::string lastEventId;
 };
 
-/// \brief What a replica's response head says.
+/// \brief Classification of a replica's response head.
 enum class reply_kind {
-    /// The replica's own answer, good or bad.
+    /// The replica's own answer, successful or not.
     Answer,
     /// The replica did not run the request and never will.
     NotRun,
-    /// As NotRun, and another replica has the address.
+    /// Like NotRun; another replica has the address.
     WrongReplica,
     /// The head belongs to another request, or is not the replica's own.
     Foreign,
@@ -83,7 +83,7 @@
         = {"answer", "not_run", "wrong_replica", "foreign"};
 };
 
-/// \brief An answer of the daemon's own in place of a replica's.
+/// \brief Kinds of answers that the daemon itself gives in place of a replica.
 enum class local_reply {
     NoRoute,
     /// The request's key is missing or unknown.
@@ -92,13 +92,13 @@
     BudgetExhausted,
     Malformed,
     TooLarge,
-    /// Not run, and never will be.
+    /// The request did not run and never will.
     Refused,
-    /// As Refused, since the account asks for more than its quota.
+    /// Like Refused, because the account exceeds its quota.
     OverQuota,
-    /// May have run.
+    /// The request may have run.
     UpstreamFailed,
-    /// May have run; the time is over.
+    /// The request may have run; its deadline has passed.
     TimedOut,
 };
 
--- a/src/entry/engine_admission.cpp
+++ b/src/entry/engine_admission.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Share of its time that a request may wait for a place; beyond it, the answer could no longer
-/// come in time, and the client does better to ask again.
+/// Fraction of its remaining time for which a request may wait for admission. After a longer wait
+/// the answer could no longer arrive in time, and the client does better to retry.
 constexpr double admissionWaitShare = 0.4;
 
 duration admissionTimeout(duration left)
@@ -28,7 +28,7 @@
     if (ticket.slack > duration::zero())
         return ticket;
     ticket.slack = times.left.value_or(duration::zero());
-    // An answer within twice the program's time still earns something.
+    // An answer within twice the program's time still has some value.
     const bool isInfeasible
         = times.left && times.aim && *times.left + *times.aim < duration::zero();
     ticket.hope = isInfeasible ? program_hope::Lost : program_hope::Late;
@@ -54,7 +54,8 @@
                  {"waited_ms", toMilliseconds(waited)}});
 }
 
-/// \returns what each daemon of \p others tells of \p service.
+/// \returns what each report of \p reports says of \p service, and an empty entry for those that
+/// say nothing.
 std::vector<place_word> reportsOf(const std::vector<place_words> &reports,
                                   const std::string &service)
 {
@@ -93,7 +94,7 @@
     place_words reports;
     for (auto &[name, gate] : m_gates) {
         const place_word report = gate.tell();
-        // A service that nobody uses here takes no room in the message.
+        // Services without demand at this daemon are left out to keep the message small.
         if (report.wanted > 0)
             reports.emplace(name, report);
     }
--- a/src/entry/engine_admission.h
+++ b/src/entry/engine_admission.h
@@ -11,36 +11,38 @@
 
 namespace azurehill {
 
-/// \brief Lets requests wait for a place at the engines of their service. Each service with engines
-/// has a service_gate. Used on the traffic thread.
+/// \brief Admission controller for the engines: queues requests until their service has capacity.
+/// Each service with engines has a service_gate. Used on the traffic thread.
 class engine_admission
 {
 public:
     engine_admission(asio::any_io_executor executor, const mechanism_set &mechanisms,
                      entry_metrics &metrics);
 
-    /// \brief Makes a gate for \p service if it has none yet.
+    /// \brief Adds a service_gate for \p service if it has none yet.
     void addService(const std::string &service);
-    /// \brief Takes in how many replicas may take requests, and grants places that came free.
+    /// \brief Updates how many replicas may take requests, and admits requests for which capacity
+    /// became free.
     void update(const replica_board &board, time_point now);
-    /// \returns what this daemon tells the others of its places. Call it once for each round.
+    /// \returns this daemon's admission report for the other daemons. To be called once per gossip
+    /// round.
     place_words makeReports();
-    /// \brief Takes in a round of what the other daemons told.
-    /// \param heard the words of those that were heard lately.
-    /// \param others the other daemons that live, heard ones included.
+    /// \brief Merges a round of admission reports of the other daemons.
+    /// \param reports recent reports.
+    /// \param otherDaemons number of the other live daemons, including those that reported.
     void mergeReports(const std::vector<place_words> &reports, std::size_t otherDaemons);
 
-    /// \brief Waits for a place.
-    /// \param times how the call's program stands, if it has an account.
-    /// \returns whether the call has one now; always true for services without engines.
+    /// \brief Waits until \p call is admitted.
+    /// \param times time limits of the call's program, if it has an account.
+    /// \returns whether the call was admitted; always true for services without engines.
     awaitable<bool> admit(entry_call_ptr call, program_times times);
-    /// \brief Gives the call's place back, if it has one.
+    /// \brief Releases the capacity that the call holds, if any.
     void release(entry_call &call);
-    /// \brief An answer of \p service had its events \p msPerEvent apart.
+    /// \brief Records that the events of an answer of \p service were \p msPerEvent apart.
     void onEventInterval(const std::string &service, double msPerEvent, time_point now);
 
 private:
-    /// \brief A request that waits.
+    /// \brief A request that waits for admission.
     struct queued_request
     {
         explicit queued_request(const asio::any_io_executor &executor) : waitTimer(executor) { }
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -11,7 +11,7 @@
 
 namespace azurehill {
 
-/// \brief Why a send was ended from outside.
+/// \brief Why a send was aborted.
 enum class abort_reason {
     None,
     ClientDisconnected,
@@ -27,49 +27,50 @@
         = {"none", "client_left", "time_over", "replica_silent", "attempt_time_over"};
 };
 
-/// \brief One client request on its way through the daemon. Used on the traffic thread.
+/// \brief State of one client request while it is being served. Used on the traffic thread.
 struct entry_call
 {
     client_request request;
-    /// Holds the route that \c route points into.
+    /// Keeps the configuration alive that \c route points into.
     routing_config_ptr routes;
     const route_rule *route = nullptr;
-    /// Path that the request asks for.
+    /// Path of the request.
     std::string path;
     /// The account of the request's key, part of \c routes, or null.
     const account_rule *account = nullptr;
     request_rank rank;
     std::string service;
     time_point arrivedAt;
-    /// When the route's timeout or the client's patience ends.
+    /// Earlier end of the route's timeout and the client's timeout.
     time_point deadline;
 
-    /// The connection of the send under way, or null.
+    /// Connection of the current send, or null.
     http_connection *connection = nullptr;
     replica_incarnation replica;
     endpoint replicaAddress;
-    /// When the replica last took a connection after it had been silent.
+    /// When the replica last accepted a connection after it had been silent.
     time_point replicaAliveAt;
     time_point sentAt;
     time_point lastByteAt;
-    /// When the send under way is given up in favour of another replica, if ever.
+    /// When the current send is aborted in favour of another replica, if ever.
     std::optional<time_point> attemptDeadline;
     abort_reason abortReason = abort_reason::None;
-    /// Bytes of the answer went out to the client.
+    /// Whether bytes of the answer were sent to the client.
     bool responseStarted = false;
-    /// The answer was the daemon's own.
+    /// Whether the daemon itself answered in place of a replica.
     bool isLocalReply = false;
-    /// Its program went on from earlier turns, so far as is known here.
+    /// Whether the request continues earlier turns of its program, according to the state of this
+    /// daemon.
     bool isLaterTurn = false;
-    /// Sends that count against the attempts of its route.
+    /// Number of sends that count towards the maximum attempts of its route.
     int sends = 0;
-    /// The last event that went out to the client, if its stream goes on at a replica; or empty.
+    /// Id of the last event sent to the client, after which a replica resumes the stream; or empty.
     std::string lastEventId;
-    /// Whether the request holds a place at the engines of its service.
+    /// Whether the request is admitted to the engines of its service.
     bool holdsEngineSlot = false;
-    /// Ends the wait for a place, or null.
+    /// Timer of the wait for admission, which ends when it is cancelled; or null.
     timer *admissionTimer = nullptr;
-    /// Some replica may have worked on the request.
+    /// Whether a replica may have run the request.
     bool mayHaveRun = false;
     /// The credit of its account that the request uses, if its account has a quota.
     std::optional<credit_id> credit;
@@ -77,7 +78,7 @@
     /// \returns the name of the request's account, or an empty one.
     account_id accountName() const { return account ? account->name : account_id(); }
     bool clientDisconnected() const { return abortReason == abort_reason::ClientDisconnected; }
-    /// \brief Ends the send under way.
+    /// \brief Aborts the current send and the wait for admission.
     void abortSend(abort_reason reason)
     {
         if (abortReason != abort_reason::ClientDisconnected)
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -12,25 +12,29 @@
 
 namespace {
 
-/// Longest wait of one call to the feed. Short, since a feed may go silent while changes are made.
+/// Maximum wait of one long-poll call to the change feed. Short, since a feed may stop delivering
+/// while changes are made.
 constexpr duration feedPollTimeout = seconds(2);
 constexpr duration feedTimeoutMargin = seconds(1);
-/// The configuration is read this often within the time in which it must be in force, beside the
-/// feed: a feed that went silent would otherwise leave the daemon with an old one.
+/// Full reads of the configuration within the time in which a new one must be in force, in addition
+/// to the feed: a feed that stopped delivering would otherwise leave the daemon with an outdated
+/// configuration.
 constexpr double configReadsPerApply = 1.3;
-/// The members' rows are read this often by any daemon. Daemons tell each other who lives; the rows
-/// only show those of whom nobody has heard, so a few readers at a time are enough for all.
+/// Read interval of the member rows, and the number of daemons that read within it. Daemons learn
+/// by gossip which members are alive; the rows only show members that no gossip has reported, so a
+/// few readers at a time are enough for all.
 constexpr duration membersReadInterval = seconds(2);
 constexpr std::size_t concurrentMemberReaders = 16;
 constexpr duration storeCallTimeout = milliseconds(1000);
 constexpr duration retryInterval = milliseconds(200);
 
-/// Lines on members that came or went in one message or round: a restart of all hosts would
-/// otherwise have each write a line on each other.
+/// Maximum number of log lines on members that joined or failed in one message or gossip round.
+/// Otherwise a restart of all hosts would make each daemon write a line on each other one.
 constexpr std::size_t maxMemberLogLines = 4;
 
 constexpr std::string_view memberTable = "members";
-/// Callers keep an answer this long. Short, so that they leave a stopped daemon soon.
+/// Maximum time to live of a look-up. Short, so that callers soon stop using a daemon that has
+/// stopped.
 constexpr duration lookupTtl = seconds(1);
 constexpr std::size_t maxAddresses = 64;
 
@@ -148,8 +152,8 @@
 {
     store_transaction t;
     t.removals.push_back(memberRow(m_settings.name));
-    // A silent store must not take the time in which answers end: peers drop the row's daemon
-    // without it, since it beats no more.
+    // A store that doesn't answer must not use up the time in which answers finish. Peers also drop
+    // this daemon without the removal of its row, since its heartbeats end.
     const time_point until = std::min(storeCallDeadline(), deadline);
     const auto done = co_await m_store.transact(std::move(t), until);
     if (!done)
@@ -158,7 +162,8 @@
 
 http_response entry_control::answerLookup()
 {
-    // A suspected daemon may have stopped; callers find enough others until that is certain.
+    // Suspected daemons are left out, since they may have stopped; callers find enough others until
+    // that is certain.
     member_list::selection all = m_membership.members().healthy();
     all.push_back(&m_membership.self());
     std::vector<endpoint> reachingStore;
@@ -170,15 +175,16 @@
         if (m->storeReachable)
             reachingStore.push_back(m->clients);
     }
-    // A daemon that the store turns away is slower, so callers go elsewhere, unless too few would
-    // be left to carry them.
+    // A daemon that the store rejects is slower, so callers are sent to the others, unless those
+    // are too few to carry the load.
     constexpr std::size_t maxServingPerReaching = 3;
     std::vector<endpoint> &chosen
         = reachingStore.size() * maxServingPerReaching >= serving.size() ? reachingStore : serving;
     if (chosen.empty())
         return encodeOwnAnswer(local_reply::Refused, "no daemon serves", retryInterval);
-    // Others by chance each time: the first by name alone would get all new callers of a system of
-    // more daemons than an answer holds, while everything else is divided among all.
+    // A random selection each time: in a system with more daemons than an answer holds, the first
+    // by name would otherwise get all new callers, while everything else is divided among all
+    // daemons.
     std::shuffle(chosen.begin(), chosen.end(), m_random);
     if (chosen.size() > maxAddresses)
         chosen.resize(maxAddresses);
@@ -220,7 +226,7 @@
         m_unreadable.tell(log_event::ConfigurationUnreadable, row, book.error());
         return;
     }
-    // An older version may be read after a newer one; it must never come back into force.
+    // An older version may be read after a newer one; it must never take effect again.
     if (m_routes && (*book)->version() <= m_routes->version())
         return;
     m_routes = *book;
@@ -289,9 +295,10 @@
 void entry_control::applyMemberRow(const stored_row &row)
 {
     const auto states = decodeMembers(row.value);
-    // A daemon registers itself alone, under its own name; anything else is another writer's.
+    // A daemon registers only itself, under its own name; anything else has another writer.
     if (!states || states->size() != 1 || states->front().name.value != row.name.key)
-        m_unreadable.tell(log_event::RowUnreadable, row, "not a member's state");
+        m_unreadable.tell(log_event::RowUnreadable, row,
+                          "the row does not hold the state of the member that it is named after");
     else
         m_membership.onListed(states->front(), runtime_clock::now());
 }
@@ -317,15 +324,15 @@
 
 awaitable<void> entry_control::pollMembers()
 {
-    // The row of an earlier run is read before it is written over: this run has to tell a later
-    // start than that one, also if the host's clock went back in between.
+    // The row of an earlier run is read before it is overwritten: this run must have a later
+    // incarnation than that one, even if the host's clock was set back in between.
     bool hasRead = co_await readMembers();
     while (!hasRead) {
         co_await sleepFor(retryInterval);
         hasRead = co_await readMembers();
     }
     m_isIncarnationFinal = true;
-    // Now the number of daemons is known, which all together read the replicas' entries.
+    // The number of daemons that share the reads of the replica table is known from here on.
     updateDaemonCount();
     spawn(m_context.get_executor(), "followReplicas", m_replicas.follow());
     bool isRegistered = co_await registerSelf();
@@ -343,14 +350,14 @@
 {
     const std::size_t daemons = m_membership.members().aliveCount() + 1;
     const double rounds = std::max(1.0, double(daemons) / concurrentMemberReaders);
-    // By chance, so that daemons that started together don't read together.
+    // Randomised, so that daemons that started together don't read at the same time.
     const double jitter = std::uniform_real_distribution<double>(0.5, 1.5)(m_random);
     return std::chrono::duration_cast<duration>(membersReadInterval * rounds * jitter);
 }
 
 void entry_control::updateDaemonCount()
 {
-    // After a start the store names daemons that were not heard of yet.
+    // After a start the store lists daemons that gossip has not reported yet.
     const member_list &members = m_membership.members();
     m_replicas.setDaemonCount(
         1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.known()));
@@ -445,8 +452,8 @@
                              m_transport->isDirectWorking());
         send(m_membership.onRound(runtime_clock::now()));
         logMembers();
-        // Before the store has named any member, the seeds are the only way to the others. They
-        // name other hosts' inner addresses; all hosts use the same ports.
+        // Until the store has listed a member, the seeds are the only way to reach the others. They
+        // are the peer addresses of other hosts; all hosts use the same ports.
         if (m_membership.members().known() == 0) {
             for (const endpoint &seed : m_settings.seeds) {
                 const probe_message message = m_membership.introduction();
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -16,22 +16,24 @@
 
 namespace azurehill {
 
-/// \brief What the control thread tells the traffic thread. All calls come on the control thread.
+/// \brief Callbacks by which the control thread passes its state to the traffic thread. All of them
+/// are called on the control thread.
 struct control_events
 {
     std::function<void(routing_config_ptr)> onRoutes;
     std::function<void(std::vector<replica_entry>)> onReplicas;
-    /// The addresses of the peers that reach the store, and the number of daemons that live.
+    /// Addresses of the peers that reach the store, and the number of live daemons, this one
+    /// included.
     std::function<void(std::vector<endpoint>, int)> onPeers;
-    /// This daemon's word of itself and the others that live.
+    /// Member state of this daemon and those of the other live members.
     std::function<void(member_state, std::vector<member_state>)> onMembers;
-    /// What some of the other daemons that live told lately of their places at the engines.
+    /// Recent admission reports of some of the other live daemons.
     std::function<void(std::vector<place_words>)> onAdmissionReports;
-    /// What some of the other daemons told lately of replicas; called where any did.
+    /// Recent replica reports of some of the other daemons; called only if there are any.
     std::function<void(std::vector<replica_words>)> onReplicaReports;
 };
 
-/// \brief Where the control side of a daemon listens.
+/// \brief Ports on which the control thread listens.
 struct control_ports
 {
     std::uint16_t readiness = 0;
@@ -39,27 +41,28 @@
     std::uint16_t peers = 0;
 };
 
-/// \brief What a daemon believes of the system: configuration, replicas, members. It answers
-/// look-ups and readiness checks. Lives on the control thread.
+/// \brief Control plane of a daemon: follows the configuration, the replicas and the membership of
+/// the system, and answers look-ups and readiness checks. Lives on the control thread.
 class entry_control
 {
 public:
     entry_control(asio::io_context &context, const host_settings &settings, control_events events);
 
-    /// \brief Listens and begins to follow the store.
-    /// \returns the ports, or nothing when an address can't be bound.
+    /// \brief Starts to listen and to follow the store.
+    /// \returns the ports, or nothing if an address can't be bound.
     std::optional<control_ports> start();
-    /// \brief Leaves look-ups and the readiness check, and tells the others.
+    /// \brief Withdraws this daemon from look-ups and the readiness check, and announces that to
+    /// the other daemons.
     void leave();
-    /// \brief Takes the daemon's row out of the store, by \p latest at the latest.
+    /// \brief Removes the daemon's row from the store; gives up at \p deadline.
     awaitable<void> unregister(time_point deadline);
-    /// \brief Takes in what this daemon tells the others of its places at the engines.
+    /// \brief Sets the admission report that is sent to the other daemons.
     void setAdmissionReport(place_words report);
-    /// \brief Takes in what this daemon tells the others of replicas.
+    /// \brief Sets the replica report that is sent to the other daemons.
     void setReplicaReport(replica_words report);
-    /// \brief Takes over the bounds and times of new settings. Addresses stay as they are.
+    /// \brief Applies the bounds and times of new settings. Addresses stay as they are.
     void setSettings(const host_settings &settings);
-    /// \returns what the daemon believes, for the metrics.
+    /// \returns the current state of the daemon for the metrics.
     entry_gauges gauges() const;
     bool isLeaving() const { return m_isLeaving; }
 
@@ -81,12 +84,14 @@
     void publishPeers();
     void publishMembers();
     void forwardPeerReports() const;
-    /// \returns the time until this daemon reads the members' rows again.
+    /// \returns the delay until this daemon reads the member rows again.
     duration membersReadDelay();
     void onGossip(const probe_message &message, const endpoint &from);
-    /// \brief Has the follower of replicas know how many daemons read by turns.
+    /// \brief Passes the number of daemons that share the reads of the replica table to replica
+    /// discovery.
     void updateDaemonCount();
-    /// \brief Has the other daemons hear of the newest copy of the replicas' entries.
+    /// \brief Passes the digest of this daemon's copy of the replica table to the membership
+    /// protocol, which sends it to the other daemons.
     void updateReplicaDigest();
     void logMembers();
     void send(const std::vector<probe_datagram> &datagrams);
@@ -108,7 +113,8 @@
     std::vector<endpoint> m_peersReachingStore;
     int m_aliveCount = 0;
     std::vector<member_state> m_lastPublishedMembers;
-    /// The store's rows were read, so that no earlier run of this daemon has a larger incarnation.
+    /// Whether the store's rows were read, so that no earlier run of this daemon has a larger
+    /// incarnation.
     bool m_isIncarnationFinal = false;
     bool m_isLeaving = false;
 };
--- a/src/entry/entry_metrics.cpp
+++ b/src/entry/entry_metrics.cpp
@@ -13,14 +13,16 @@
 
 namespace {
 
-/// Seconds; from a store's answer to the longest time that a client waits.
+/// Histogram buckets in seconds, from the time of a store's answer to the longest time that a
+/// client waits.
 const prometheus::Histogram::BucketBoundaries bounds
     = {0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8};
 
-/// Seconds; few, since there are hundreds of accounts.
+/// Histogram buckets in seconds; few, since there are hundreds of accounts.
 const prometheus::Histogram::BucketBoundaries accountBuckets = {0.05, 0.25, 1, 4};
 
-/// Causes beyond these many are counted as "other": some carry the text of a library's error.
+/// Maximum number of causes with a label of their own; further ones are counted as "other", since
+/// some carry the text of a library's error.
 constexpr std::size_t maxCauseLabels = 64;
 
 } // namespace
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -8,7 +8,7 @@
 
 namespace azurehill {
 
-/// \brief The steps of a request whose time is measured.
+/// \brief The phases of a request whose time is measured.
 enum class request_phase { Store, Admission, FirstByte, Events, Durable, Total };
 
 template <>
@@ -18,7 +18,7 @@
         = {"store", "place", "first_byte", "events", "durable", "whole"};
 };
 
-/// \brief What is read from the daemon's state when the metrics are asked for.
+/// \brief Gauges that are read from the daemon's state when the metrics are requested.
 struct entry_gauges
 {
     int members = 0;
@@ -35,8 +35,8 @@
 class entry_metrics
 {
 public:
-    /// Most routes that are told apart; later ones are counted as "other", so that a configuration
-    /// of very many routes can't take the daemon's memory.
+    /// Maximum number of routes with a label of their own; further ones are counted as "other", so
+    /// that a configuration of very many routes can't exhaust the daemon's memory.
     static constexpr std::size_t maxRoutes = 64;
     /// The same for client accounts.
     static constexpr std::size_t maxAccounts = 512;
@@ -44,21 +44,21 @@
     entry_metrics();
     ~entry_metrics();
 
-    /// \brief A phase of a request on \p route took \p time.
+    /// \brief Records that a phase of a request on \p route took \p time.
     void onPhase(const std::string &route, request_phase phase, duration time);
-    /// \brief A request got an answer of class \p answer, such as "replica" or "refused", for
-    /// \p cause.
+    /// \brief Counts an answer of class \p answer, such as "replica" or "refused", given for \p
+    /// cause.
     void onAnswer(std::string_view answer, std::string_view cause);
-    /// \brief A request of the account \p name ended after \p time.
-    /// \param isLocalReply whether this daemon answered it in a replica's place.
+    /// \brief Records that a request of the account \p name ended after \p time.
+    /// \param isLocalReply whether this daemon answered it in place of a replica.
     void onAccount(const std::string &name, bool isLocalReply, duration time);
-    /// \brief A send to a replica ended as \p end.
+    /// \brief Counts a send to a replica that ended as \p end.
     void onSend(std::string_view end);
 
-    /// \brief Takes in how many replicas get no requests because some failed there.
+    /// \brief Sets the number of ejected replicas, which get no requests because some failed there.
     void setEjectedReplicas(int count);
 
-    /// \returns all of them in Prometheus' text format.
+    /// \returns all metrics in Prometheus' text format.
     std::string toText(const entry_gauges &gauges);
 
 private:
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -12,24 +12,25 @@
 namespace {
 
 constexpr duration sweepInterval = milliseconds(50);
-/// Pause between removals of rows that are no longer needed.
+/// Interval between removals of rows that are no longer needed.
 constexpr duration removalInterval = seconds(1);
-/// Pause between words to the other daemons of what is wanted here: a round of their gossip.
+/// Interval between reports to the other daemons: one round of their gossip.
 constexpr duration reportPublishInterval = milliseconds(200);
-/// Share of a process's memory that its turns may take. The rest is for connections and answers.
+/// Divisor of a process's memory that gives the size of its turn cache. The rest is for connections
+/// and answers.
 constexpr int cacheMemoryDivisor = 8;
 
-/// Share of its time that a request may wait for a credit.
+/// Fraction of its remaining time for which a request may wait for a credit.
 constexpr double creditWaitShare = 0.25;
-/// Clients come back after this long when no daemon lends: a new one takes about as long to begin.
+/// Retry-After while no daemon lends: a new lender takes about as long to start.
 constexpr duration lenderRetryAfter = milliseconds(700);
-/// Causes of refusals for a quota's sake.
+/// Causes of refusals by a quota.
 constexpr std::string_view quotaExhaustedDetail = "the account's quota is used up";
 constexpr std::string_view lenderUnavailableDetail = "no daemon lends the account's credits";
 
 http_limits limitsOf(const host_settings &settings, const client_limits &c)
 {
-    // Body time: a slow line of 1 Mbit/s carries the largest body of the default in half a minute.
+    // At 1 Mbit/s, a body of the largest default size takes half a minute.
     constexpr duration bodyTime = seconds(30);
     http_limits limits;
     limits.maxHeaderBytes = c.headerBytes;
@@ -41,8 +42,8 @@
     return limits;
 }
 
-/// \returns the id under which the daemons keep a program that clients of \p account call
-/// \p named. Another account's program of the same name is another program.
+/// \returns the id under which the daemons store the program that clients of \p account call \p
+/// clientProgram. Programs of the same name of other accounts are other programs.
 program_id accountScopedProgram(const account_id &account, const program_id &clientProgram)
 {
     if (account.empty() || clientProgram.empty())
--- a/src/entry/entry_service.h
+++ b/src/entry/entry_service.h
@@ -12,52 +12,58 @@
 
 namespace azurehill {
 
-/// \brief Serves clients: finds a request's route and has it answered by that route's kind. Owns
-/// what the traffic thread needs, and takes in what the control thread learns.
+/// \brief Request handler for clients: finds the route of a request and dispatches the request by
+/// the kind of that route. Owns the state of the traffic thread, and receives what the control
+/// thread learns.
 class entry_service
 {
 public:
     entry_service(asio::io_context &context, const host_settings &settings, entry_metrics &metrics);
 
-    /// \brief Listens for clients. \returns the port, or 0 when the address can't be bound.
+    /// \brief Starts to listen for clients.
+    /// \returns the port, or 0 if the address can't be bound.
     std::uint16_t start();
-    /// \brief Tells clients to close their connections after the answers under way.
+    /// \brief Asks clients to close their connections after the answers in progress.
     void announceClose();
     /// \returns the number of requests being answered. May be called from any thread.
     int requestsInProgress() const { return m_server.requestsInProgress(); }
 
     void setRoutes(routing_config_ptr routes);
     void setReplicas(const std::vector<replica_entry> &listed);
-    /// \param alive daemons that live, this one included.
+    /// \param alive number of live daemons, this one included.
     void setPeers(std::vector<endpoint> reachingStore, int alive);
-    /// \brief Takes in this daemon's word of itself and the others that live.
+    /// \brief Sets the member state of this daemon and those of the other live members.
     void setMembers(member_state self, std::vector<member_state> others);
-    /// \brief Takes in what some of the other daemons told lately of their places at the engines.
+    /// \brief Merges recent admission reports of some of the other daemons.
     void mergeAdmissionReports(const std::vector<place_words> &reports);
-    /// \brief Takes in what some of the other daemons told lately of replicas.
+    /// \brief Merges recent replica reports of some of the other daemons.
     void mergeReplicaReports(const std::vector<replica_words> &reports);
-    /// \brief Calls \p tell now and then with what this daemon tells of replicas.
+    /// \brief Sets the callback that periodically gets this daemon's replica report.
     void onReplicaReports(std::function<void(replica_words)> publish)
     {
         m_publishReplicaReport = std::move(publish);
     }
-    /// \brief Calls \p tell now and then with what this daemon tells of its places.
+    /// \brief Sets the callback that periodically gets this daemon's admission report.
     void onAdmissionReports(std::function<void(place_words)> publish)
     {
         m_publishAdmissionReport = std::move(publish);
     }
 
-    /// \brief Gives up what only a daemon that goes on may hold, by \p latest at the latest.
+    /// \brief Stops lending credits, which only a daemon that keeps running may do; gives up at \p
+    /// deadline.
     awaitable<void> release(time_point deadline) { return m_credits.release(deadline); }
 
 private:
     awaitable<void> serve(const http_request &request, response_writer &writer);
-    /// \brief Decodes \p request and finds its route, or answers it.
+    /// \brief Decodes \p request and finds its route.
+    /// \returns whether it may be served; otherwise it was answered.
     awaitable<bool> findRoute(entry_call_ptr call, const http_request &request,
                               response_writer &writer);
-    /// \brief Borrows the credit that \p call needs, or answers it.
+    /// \brief Borrows the credit that \p call needs.
+    /// \returns whether it may be served; otherwise it was answered, unless its client has
+    /// disconnected.
     awaitable<bool> acquireCredit(entry_call_ptr call, response_writer &writer);
-    /// \brief Has \p call, which has what it needs, answered by its route's kind.
+    /// \brief Dispatches \p call, which has its route and its credit, by the kind of its route.
     awaitable<void> serveRouted(entry_call_ptr call, const http_request &request,
                                 response_writer &writer);
     awaitable<void> servePlain(entry_call_ptr call, const http_request &request,
--- a/src/entry/host_settings.h
+++ b/src/entry/host_settings.h
@@ -11,7 +11,7 @@
 
 namespace azurehill {
 
-/// \brief What a daemon learns at its start about its host and the platform's promises.
+/// \brief Settings of a daemon's host and guarantees of the platform, read when the daemon starts.
 struct host_settings
 {
     daemon_id name;
@@ -29,17 +29,17 @@
     endpoint gossip;
     /// Where datagrams on credits arrive.
     endpoint credits;
-    /// The peers' addresses of a few hosts, which may be stale.
+    /// Peer addresses of a few hosts, which may be stale.
     std::vector<endpoint> seeds;
 
     endpoint storeAddress;
     /// Whether a transaction of the store may span parts.
     bool storeSpansParts = false;
-    /// Largest value of a row in bytes.
+    /// Maximum size of a row's value in bytes.
     std::size_t rowBytes = 64U << 10U;
-    /// Writes a second that the store takes from all daemons together.
+    /// Maximum number of writes per second that the store accepts from all daemons together.
     double storeWritesPerSecond = 800;
-    /// Reading calls a second that all daemons together may make at the store.
+    /// Maximum number of read calls per second that all daemons together may make to the store.
     double storeReadsPerSecond = 100;
 
     /// From the daemon's own settings, not the platform's.
@@ -52,13 +52,13 @@
     duration replicaHeartbeat = seconds(1);
     /// Time within which a new configuration must be in use.
     duration configApply = seconds(2);
-    /// Time within which a leaving replica must get no more work.
+    /// Time within which a leaving replica must stop getting requests.
     duration replicaDrain = seconds(2);
-    /// What quotas of accounts are judged by.
+    /// Bounds by which account quotas are enforced.
     quota_bound quota;
     /// Time between SIGTERM and SIGKILL.
     duration grace = seconds(8);
-    /// Longest time that a client keeps the answer of a look-up.
+    /// Maximum time for which a client caches the answer of a look-up.
     duration lookupTtl = seconds(5);
 };
 
--- a/src/entry/local_reply_writer.cpp
+++ b/src/entry/local_reply_writer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// \returns whether \p answer says when to come back.
+/// \returns whether \p answer tells the client when to retry.
 bool hasRetryAfter(local_reply answer)
 {
     return answer == local_reply::Refused || answer == local_reply::OverQuota;
@@ -31,7 +31,8 @@
          {"sends", std::int64_t(call->sends)},
          {"retry_after_ms", hasRetryAfter(answer) ? toMilliseconds(retryAfter) : std::int64_t(0)},
          {"ms", toMilliseconds(runtime_clock::now() - call->arrivedAt)}});
-    // What follows a colon are figures, which would make a series each.
+    // Only the text before a colon becomes a label: what follows are figures, which would create a
+    // time series each.
     m_metrics.onAnswer(toName(answer), std::string_view(detail).substr(0, detail.find(':')));
     http_response response = encodeOwnAnswer(answer, detail, retryAfter);
     call->isLocalReply = true;
@@ -45,7 +46,8 @@
         co_return;
     local_reply answer = local_reply::Refused;
     const bool isInTime = runtime_clock::now() < call->deadline;
-    // An idempotent request may run again whatever became of it, but 503 says that it never will.
+    // An idempotent request may run again whatever happened to it, but gets no 503, which says that
+    // it never will.
     if (call->mayHaveRun)
         answer = isInTime ? local_reply::UpstreamFailed : local_reply::TimedOut;
     co_await write(call, answer, failure.detail, writer);
--- a/src/entry/local_reply_writer.h
+++ b/src/entry/local_reply_writer.h
@@ -9,25 +9,27 @@
 
 namespace azurehill {
 
-/// Time after which a request that found no place comes back: about that of one turn.
+/// Retry-After of a request that was not admitted: about the time of one turn.
 constexpr duration busyRetryAfter = milliseconds(300);
 
-/// The cause of a refusal by an engine_admission.
+/// Cause of a refusal by engine_admission.
 constexpr std::string_view enginesBusy = "the engines are busy";
 
-/// \brief Writes the answers that are the daemon's own, with their log line and count.
+/// \brief Writes local replies, i.e. answers that the daemon itself gives in place of a replica,
+/// with their log line and count.
 class local_reply_writer
 {
 public:
     explicit local_reply_writer(entry_metrics &metrics) : m_metrics(metrics) { }
 
-    /// \brief Ends \p call with \p answer.
-    /// \param detail the cause, for the log; what follows a colon are figures.
-    /// \param retryAfter when coming back makes sense; only for Refused and OverQuota.
+    /// \brief Answers \p call with \p answer.
+    /// \param detail the cause, for log and metrics; what follows a colon are figures.
+    /// \param retryAfter when a retry makes sense; only for Refused and OverQuota.
     awaitable<void> write(entry_call_ptr call, local_reply answer, std::string detail,
                           response_writer &writer, duration retryAfter = busyRetryAfter);
 
-    /// \brief Ends \p call after \p failure, unless the client left or has part of an answer.
+    /// \brief Answers \p call after \p failure, unless the client has disconnected or has part of
+    /// an answer.
     awaitable<void> replyWithFailure(entry_call_ptr call, send_failure failure,
                                      response_writer &writer);
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -23,10 +23,10 @@
 constexpr int exitBadSettings = 2;
 constexpr int exitCantListen = 71;
 
-/// Callers keep a look-up for its time to live, some three times as long; after that nobody comes
-/// any more who could know better.
+/// Callers cache a look-up for its time to live, and some for three times as long; after that, no
+/// caller comes that could know a better address.
 constexpr duration lookupStaleTime = milliseconds(3500);
-/// Share of the grace time after which the process ends in any case.
+/// Fraction of the grace time after which the process ends in any case.
 constexpr double graceShare = 0.8;
 constexpr duration drainPollInterval = milliseconds(50);
 
@@ -58,8 +58,8 @@
 
 constexpr duration settingsPollInterval = seconds(2);
 
-/// \brief Takes over the settings file whenever it has changed: it may change without a signal, so
-/// it is read again now and then.
+/// \brief Reloads the settings file when it has changed. It may change without a signal, so it is
+/// also read periodically.
 class settings_watch
 {
 public:
@@ -107,7 +107,7 @@
     }
 }
 
-/// \brief Writes the log to standard output on a thread of its own for as long as it lives.
+/// \brief Writes the log to standard output on a thread of its own during its lifetime.
 class stdout_log
 {
 public:
@@ -118,8 +118,8 @@
     }
     ~stdout_log()
     {
-        // A reader that stands still must not keep the process: its thread is then left behind with
-        // the sink, which is never destroyed.
+        // A stalled reader must not keep the process from ending: the thread is then detached
+        // together with the sink, which is never destroyed.
         constexpr duration flushTime = milliseconds(300);
         if (m_sink->stop(flushTime))
             m_thread.join();
@@ -134,7 +134,8 @@
     std::thread m_thread;
 };
 
-/// \brief Writes the ports under another name first, so that nobody reads half of them.
+/// \brief Writes the ports to a temporary file that is then renamed, so that no reader sees a part
+/// of them.
 void writePorts(const std::string &path, std::uint16_t clientPort, const control_ports &ports)
 {
     const std::string temporaryPath = path + ".part";
--- a/src/entry/replica_discovery.cpp
+++ b/src/entry/replica_discovery.cpp
@@ -13,29 +13,31 @@
 namespace {
 
 constexpr duration storeCallTimeout = milliseconds(1000);
-/// Time for a daemon nearby to hand out its changes; after it this daemon reads for itself.
+/// Timeout for fetching the changes from a nearby daemon, after which this daemon reads the store
+/// itself.
 constexpr duration changesTimeout = milliseconds(250);
-/// Time to hand out the whole table, which may be some megabytes on a slow line.
+/// Timeout for fetching the full table, which may be some megabytes on a slow line.
 constexpr duration fullTableTimeout = seconds(3);
-/// A daemon hands out the whole table this often at the most.
+/// Minimum interval between full tables that a daemon serves.
 constexpr duration fullTableServeInterval = milliseconds(250);
-/// Part of the reads that are of the whole table, so that a copy that the store's changes spoiled
-/// is found out.
+/// Fraction of the reads that read the full table, so that a copy that the store's incremental
+/// changes corrupted is detected.
 constexpr double fullReadShare = 1.0 / 32;
-/// Answers a daemon that may ask another one, or again later.
+/// Status that tells a daemon to ask another one, or to retry later.
 constexpr int statusBusy = 503;
-/// Rows in an answer of the store from which on there may be more changes.
+/// Number of rows in an answer of the store from which on there may be more changes.
 constexpr std::size_t fullPageRows = 100;
-/// Looks without a copy after which each daemon reads, whatever the number of daemons.
+/// Number of polls without a copy after which each daemon reads, whatever the number of daemons.
 constexpr int maxPollsWithoutCopy = 6;
 constexpr std::string_view changesPath = "/inner/replicas";
 constexpr std::string_view afterParameter = "after";
 constexpr duration maxIdle = seconds(2);
 constexpr std::size_t maxIdleConnections = 1;
-/// Lines on single replicas at one change of the entries; a start would write one for each.
+/// Maximum number of log lines on single replicas per update; a start would otherwise write one for
+/// each replica.
 constexpr std::size_t maxReplicaLogLines = 8;
 
-/// \returns a row that is not there: an answer that says so costs the store least.
+/// \returns the range of a row that doesn't exist: an empty answer costs the store least.
 row_range absentRow()
 {
     const std::string key = "touch";
@@ -78,8 +80,8 @@
     const auto age = m_table.age(runtime_clock::now());
     if (age)
         return isReadDue(m_readSchedule, age, draw);
-    // All may have started at once. The readers' number doubles with each look, and whoever hears
-    // of a copy takes it.
+    // All daemons may have started at once. The number of readers doubles with each poll, and
+    // daemons that learn of another's copy fetch that one.
     const int polls = m_pollsWithoutCopy++;
     const read_turns schedule{m_readSchedule.bound,
                               m_readSchedule.daemons >> std::min(polls, maxPollsWithoutCopy)};
@@ -149,7 +151,8 @@
 {
     while (true) {
         const duration pause = lookPause(m_readSchedule);
-        // Callers are sent to daemons that reach the store, so each looks as often whether it does.
+        // Callers are sent to daemons that reach the store, so each daemon checks at this interval
+        // whether it does.
         const bool isStoreSilent
             = runtime_clock::now() - m_transport->lastAnswer() > pause || !m_storeWasReachable;
         if (shouldReadTable())
@@ -157,7 +160,7 @@
         else if (isStoreSilent)
             co_await probeStore();
         logStoreReachability();
-        // Apart by chance, so that daemons that started together don't read together.
+        // Randomised, so that daemons that started together don't read at the same time.
         const double draw = std::uniform_real_distribution<double>(0.9, 1.1)(m_random);
         co_await sleepFor(std::chrono::duration_cast<duration>(pause * draw));
     }
--- a/src/entry/replica_discovery.h
+++ b/src/entry/replica_discovery.h
@@ -12,60 +12,63 @@
 
 namespace azurehill {
 
-/// \brief Keeps up with the replicas' entries: reads them now and then, and takes what others read.
+/// \brief Service discovery for replicas: keeps a copy of the replica table up to date, from the
+/// store and from other daemons.
 ///
-/// All daemons together read the table as often as sixteen would, whatever their number, and hear
-/// from each other within a second that it changed. A daemon whose copy gets too old, since nobody
-/// reaches the store or it reaches nobody, reads for itself. A daemon that has a copy reads what
-/// changed since; one that has none takes it from another daemon, unless it is its turn to read.
-/// Lives on the control thread.
+/// All daemons together read the table as often as sixteen would, whatever their number, and learn
+/// from each other within a second that it changed. A daemon whose copy gets too old, because no
+/// daemon reaches the store or it reaches no other daemon, reads the table itself. A daemon that
+/// has a copy reads the changes since; one that has none fetches the copy of another daemon, unless
+/// it is scheduled to read. Lives on the control thread.
 class replica_discovery
 {
 public:
     using replicas_callback = std::function<void(std::vector<replica_entry>)>;
 
-    /// \param transport tells whether the store answers this daemon directly.
+    /// \param transport reports whether the store answers this daemon directly.
     /// \param onReplicas called whenever entries changed.
     replica_discovery(const asio::any_io_executor &executor, store &rows,
                       std::shared_ptr<peer_transport> transport, const daemon_id &self,
                       const mechanism_set &mechanisms, replicas_callback onReplicas);
 
-    /// \brief Reads when it is this daemon's turn. Runs until the program ends.
+    /// \brief Reads the table whenever this daemon is scheduled to. Runs until the process ends.
     awaitable<void> follow();
-    /// \brief Takes in how long a leaving replica goes on serving.
+    /// \brief Sets how long a leaving replica continues to serve.
     void setDrainTime(duration drain) { m_readSchedule.bound = drain; }
-    /// \brief Takes in how many daemons live, this one included.
+    /// \brief Sets the number of live daemons, this one included.
     void setDaemonCount(std::size_t count)
     {
         m_readSchedule.daemons = std::max<std::size_t>(1, count);
     }
 
-    /// \brief Another daemon told of its copy. A newer one is asked for in the background.
+    /// \brief Handles the digest of another daemon's copy. A newer copy is fetched in the
+    /// background.
     void onDigest(const digest_news &announcement);
-    /// \returns the digest to tell, or nothing before the first rows came.
+    /// \returns the digest to send to other daemons, or nothing before the first rows were read.
     std::optional<table_digest> digest() const { return m_table.digest(runtime_clock::now()); }
     /// \returns whether \p request asks for changes of the entries.
     static bool isChangesRequest(const http_request &request);
-    /// \returns the changes that another daemon asks for.
+    /// \returns the changes that another daemon requests.
     http_response serveChanges(const http_request &request);
 
-    /// \returns whether the entries are known.
+    /// \returns whether the entries were read.
     bool hasReplicas() const { return m_hasReplicas; }
     const std::map<upstream_id, replica_entry> &replicas() const { return m_replicas; }
 
 private:
-    /// \returns whether this daemon reads the table now.
+    /// \returns whether this daemon has to read the table now.
     bool shouldReadTable();
-    /// \brief Reads what changed since the copy, or all rows where there is no copy.
+    /// \brief Reads the changes since the copy, or all rows if there is no copy.
     awaitable<void> readTable();
     awaitable<void> readFullTable();
-    /// \returns whether the store still told what changed since the copy.
+    /// \brief Reads the changes since the copy.
+    /// \returns false if the store no longer has them.
     awaitable<bool> readChanges();
-    /// \brief Reads one row, to learn whether the store answers this daemon.
+    /// \brief Reads a row that doesn't exist, to find out whether the store answers this daemon.
     awaitable<void> probeStore();
     awaitable<void> fetchChanges(digest_news announcement);
     void applyChanges(std::string_view source);
-    /// \brief Takes in the row of \p key as it is now. \returns whether its entry is another one.
+    /// \brief Applies the current row of \p key. \returns whether its entry changed.
     bool applyRow(const std::string &key);
     void logReplica(const replica_entry *known, const replica_entry &entry) const;
     void logStoreReachability();
@@ -81,13 +84,13 @@
     table_cache m_table;
     std::map<upstream_id, replica_entry> m_replicas;
     unreadable_rows m_unreadable;
-    /// Lines on single replicas at the change that is being taken in.
+    /// Number of log lines on single replicas of the current update.
     std::size_t m_loggedReplicas = 0;
     bool m_hasReplicas = false;
     bool m_isFetchingChanges = false;
-    /// Looks without a copy so far.
+    /// Number of polls without a copy so far.
     int m_pollsWithoutCopy = 0;
-    /// When the whole table was last handed out.
+    /// When the full table was last served.
     time_point m_fullTableServedAt;
     bool m_storeWasReachable = true;
 };
--- a/src/entry/request_rank.cpp
+++ b/src/entry/request_rank.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Lowest urgency that a replica knows.
+/// Least urgent priority that a replica knows.
 constexpr int lowestUrgency = 9;
-/// Routes' priorities that are told apart within one priority of accounts, for replicas and here.
+/// Number of route priorities that are distinguished within one account priority, by replicas and
+/// by this daemon.
 constexpr int routeUrgencies = 3;
 constexpr int routeRanks = 1000;
 
--- a/src/entry/request_rank.h
+++ b/src/entry/request_rank.h
@@ -5,17 +5,17 @@
 
 namespace azurehill {
 
-/// \brief How urgent a request is, by its account and its route.
+/// \brief Priority of a request, by its account and its route.
 struct request_rank
 {
-    /// Place in the order of those that wait here, 0 first.
+    /// Rank in the queues of this daemon; 0 is the most urgent.
     int order = 0;
-    /// Urgency at a replica, from 0 (first) to 9.
+    /// Priority at a replica, from 0 (most urgent) to 9.
     int urgency = 0;
 };
 
 /// \returns the rank of requests of \p account, which may be null, on \p route. The account's
-/// priority goes before the route's.
+/// priority takes precedence over the route's.
 request_rank rankOf(const account_rule *account, const route_rule &route);
 
 } // namespace azurehill
--- a/src/entry/response_relay.cpp
+++ b/src/entry/response_relay.cpp
@@ -17,7 +17,8 @@
     return error == std::errc() && rest == end ? std::optional(value) : std::nullopt;
 }
 
-/// \returns whether \p event comes at or before the event \p last. Ids grow along a stream.
+/// \returns whether \p event is the event \p lastEventId or an earlier one. Ids increase along a
+/// stream.
 bool isRepeated(const sse_event &event, std::string_view lastEventId)
 {
     const auto number = wholeNumber(event.id);
@@ -25,7 +26,7 @@
     return number && lastNumber && *number <= *lastNumber;
 }
 
-/// \returns how a send ended whose answer was not relayed whole.
+/// \returns the outcome of a send whose answer was not relayed completely.
 send_end incompleteSendEnd(const entry_call &call, bool isClientConnected)
 {
     if (call.clientDisconnected() || !isClientConnected
@@ -100,7 +101,7 @@
 void response_relay::recordEventInterval(const entry_call &call, std::int64_t events,
                                          time_point firstAt)
 {
-    // Fewer say more about how the answer was cut into packets than about the engine.
+    // Fewer events say more about how the answer was split into packets than about the engine.
     constexpr std::int64_t enoughEvents = 4;
     m_metrics.onPhase(call.route->name, request_phase::Events, call.lastByteAt - firstAt);
     if (events < enoughEvents)
--- a/src/entry/response_relay.h
+++ b/src/entry/response_relay.h
@@ -9,11 +9,11 @@
 
 namespace azurehill {
 
-/// \brief How the relay of a stream ended.
+/// \brief Result of relaying a stream.
 struct stream_result
 {
     bool isComplete = false;
-    /// The client still takes bytes.
+    /// Whether the client still accepts bytes.
     bool isClientConnected = true;
     /// Data of the events, each followed by a line feed.
     std::string output;
@@ -24,38 +24,39 @@
 class response_relay
 {
 public:
-    /// Answers up to this size are read whole before their first byte goes out, so that one that
-    /// breaks off can be asked of another replica.
+    /// Answers up to this size are buffered completely before their first byte is sent to the
+    /// client, so that the request can be retried at another replica if the answer breaks off.
     static constexpr std::size_t maxBufferedBytes = 256U << 10U;
 
     response_relay(upstream_sender &sender, replica_board &board, engine_admission &admission,
                    local_reply_writer &localReplies, entry_metrics &metrics);
 
-    /// \brief Reads the answer of \p reply into \p body, up to a little more than maxBufferedBytes.
-    /// \returns whether it did not break off.
+    /// \brief Reads the answer of \p reply into \p body, up to slightly more than maxBufferedBytes.
+    /// \returns false if the answer broke off.
     awaitable<bool> readBody(entry_call_ptr call, open_reply &reply, std::string &body);
 
-    /// \brief Relays an answer of which \p start was read, and finishes \p reply.
+    /// \brief Relays an answer of which \p prefix was already read, and finishes \p reply.
     awaitable<void> relayRemainder(entry_call_ptr call, open_reply &reply, std::string prefix,
                                    response_writer &writer);
 
-    /// \brief Relays a stream up to its last piece, and finishes \p reply. The end itself is left
-    /// to the caller, who may have to wait before the client may learn of it.
+    /// \brief Relays a stream up to its last chunk, and finishes \p reply. The caller ends the
+    /// response to the client, since it may have to wait before the client may see the end.
     awaitable<stream_result> relayStream(entry_call_ptr call, open_reply &reply,
                                          response_writer &writer);
-    /// \brief Relays more of a stream whose beginning went out: the answer of another send that
-    /// goes on after the call's last event.
+    /// \brief Continues a stream whose beginning was already relayed, with the answer of another
+    /// send that resumes after the call's last event.
     ///
-    /// \param stream what was relayed so far; what comes is added to it.
+    /// \param stream what was relayed so far; the continuation is added to it.
     awaitable<void> relayContinuation(entry_call_ptr call, open_reply &reply, stream_result &stream,
                                       response_writer &writer);
 
-    /// \brief Relays a replica's answer that is no stream although one was asked for.
+    /// \brief Relays a replica's answer that isn't a stream although a stream was requested.
     awaitable<void> relayNonStream(entry_call_ptr call, open_reply reply, response_writer &writer);
 
 private:
-    /// \returns the bytes of \p piece that go out now, and adds its events to \p stream. Of a
-    /// stream that may be resumed these are whole events only, so that what follows can begin anew.
+    /// \brief Adds the events of \p chunk to \p stream.
+    /// \returns the bytes to send now. For a resumable stream these are whole events only, so that
+    /// a continuation starts at an event.
     static std::string parseChunk(entry_call &call, sse_reader &events, const std::string &chunk,
                                   stream_result &stream);
     void recordEventInterval(const entry_call &call, std::int64_t events, time_point firstAt);
--- a/src/entry/turn_handler.cpp
+++ b/src/entry/turn_handler.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-/// Clients leave a stream after a gap of two seconds, four objectives or eight event gaps,
-/// whichever is longest. The end of a stream is held back for its durability no longer than that,
-/// less what the way takes.
+/// Clients abandon a stream after a gap of two seconds, four latency objectives or eight event
+/// gaps, whichever is longest. The end of a stream is withheld until its turn is durable, but for
+/// no longer than that gap, less a margin for the network.
 constexpr duration minClientStallTimeout = seconds(2);
 constexpr int objectivesPerStallTimeout = 4;
 constexpr int eventGapsPerStallTimeout = 8;
 constexpr duration streamEndMargin = milliseconds(300);
 
-/// Sends that may follow the first one of a stream to go on with it.
+/// Maximum number of further sends that resume a stream after its first send.
 constexpr int maxResumes = 3;
 
-/// Clients come back after this long when the store can't be reached. Outages last for seconds and
-/// a program gives up after a few tries: with two seconds between them it outlives one of six.
+/// Retry-After while the store can't be reached. Outages last for seconds and a program gives up
+/// after a few attempts: with two seconds between them it survives an outage of six seconds.
 constexpr duration storeRetryAfter = seconds(2);
 
-/// How long a turn may wait for the store before its first send. Later it would miss its objective
-/// by more than its program can make up.
+/// Maximum time that a turn waits for the store before its first send. After a longer wait it would
+/// miss its objective by more than its program can make up.
 constexpr duration storeWaitLimit = milliseconds(1500);
 
 duration clientStallTimeout(const route_rule &route)
@@ -54,15 +54,15 @@
     return local_reply::Refused;
 }
 
-/// \returns the turn that \p history shows before this one, or null.
+/// \returns the turn that precedes this one in \p history, or null.
 turn_ptr previousIn(const turn_history &history)
 {
     const auto *stored = std::get_if<stored_history>(&history);
     return stored ? stored->previous : nullptr;
 }
 
-/// \returns what the turn asks of its program's budget. A request that names no program belongs to
-/// the program of the turn before it, or begins one of its own.
+/// \returns the turn's claim on the token budget of its program. A request that names no program
+/// belongs to the program of the previous turn, or starts a program of its own.
 turn_claim claimOf(const client_request &r, const turn_history &history)
 {
     const turn_ptr previous = previousIn(history);
@@ -75,7 +75,7 @@
     return {{r.id}, program, budget, maxTokens, r.programTimeLeft, r.previousTurn.empty()};
 }
 
-/// \returns whether a replica may be asked for the rest of \p stream.
+/// \returns whether \p stream may be resumed at a replica.
 bool mayResume(const entry_call &call, const stream_result &stream)
 {
     const bool isClientGone = call.clientDisconnected() || !stream.isClientConnected;
@@ -208,7 +208,8 @@
     if (!r.tokenBudget || r.program.empty())
         co_return true;
     program_id program = r.program;
-    // A hold that begins from an old account fails at first, and with it all that shares its call.
+    // A reservation based on a stale account row fails at first, and so does everything in the same
+    // store call.
     co_await m_ledger.refresh(std::move(program), context->storeDeadline);
     co_return true;
 }
@@ -239,9 +240,9 @@
     const auto reserved = co_await m_ledger.reserve(std::move(claim), context->storeDeadline);
     if (reserved)
         co_return true;
-    // The hold may be on its way to the store all the same. What certainly was not held is not
-    // settled: in an outage of seconds that would be a write for each refusal (3,074 on 87 hosts,
-    // by their logs), all of them made while those who come back need the store.
+    // A reservation in doubt may still reach the store, so it is settled. One that certainly failed
+    // is not settled: in an outage of seconds that would be a write for each refusal (3,074 on 87
+    // hosts, according to their logs), all of them made while clients that retry need the store.
     if (reserved.error() == turn_refusal::InDoubt)
         settle(*context, 0);
     std::string detail = detailOf(reserved.error(), context->claim);
@@ -291,7 +292,7 @@
         = co_await m_sender.open(context->call, placementRequest, request, std::move(prompt));
     if (reply && reply->head.status == 200)
         co_return std::move(*reply);
-    // No event reached the client, so nothing was spent.
+    // No event reached the client, so no tokens were spent.
     settle(*context, 0);
     if (reply) {
         co_await m_relay.relayNonStream(context->call, std::move(*reply), writer);
@@ -305,7 +306,7 @@
 void turn_handler::chargeIncompleteTurn(const turn_context &context, const stream_result &stream)
 {
     const entry_call &call = *context.call;
-    // One event more may have reached the client in part.
+    // One further event may have reached the client in part.
     settle(context, std::min(context.claim.most, (stream.events + 1) * tokensPerEvent(call)));
     logDecision(log_event::TurnBrokeOff,
                 {{"request", call.request.id},
--- a/src/entry/turn_handler.h
+++ b/src/entry/turn_handler.h
@@ -5,12 +5,14 @@
 
 namespace azurehill {
 
-/// \brief Serves the turns of programs, and streams of none. Used on the traffic thread.
+/// \brief Request handler for the turns of programs, and for streams that belong to no program.
+/// Used on the traffic thread.
 ///
-/// A turn goes through five steps: what its program did before is loaded, the most that it can
-/// generate is held in its program's account, it gets a place at the engines, its answer is
-/// relayed, and it is ended. A turn whose history the daemons keep is made durable before the
-/// client learns of its end; one whose caller keeps it is charged beside.
+/// A turn passes five stages: the history of its program is loaded, the maximum number of tokens
+/// that it can generate is reserved in its program's account, it is admitted to the engines, its
+/// answer is relayed, and it is finished. A turn whose history the daemons keep is made durable
+/// before the client receives the end of the stream; a turn whose client keeps the history is
+/// charged in the background.
 class turn_handler
 {
 public:
@@ -22,21 +24,22 @@
                           response_writer &writer);
 
 private:
-    /// \brief A turn on its way through the steps.
+    /// \brief State of one turn while it is being served.
     struct turn_context
     {
         entry_call_ptr call;
         turn_history history;
         turn_claim claim;
-        /// What is asked of the replica.
+        /// Requirements on the replica.
         placement_request placementRequest;
-        /// When the store must have answered for the turn to begin.
+        /// The turn is refused if the store has not answered by then.
         time_point storeDeadline;
     };
     using turn_context_ptr = std::shared_ptr<turn_context>;
     struct history_loader;
 
-    /// \brief Learns what the program did before, or answers the turn.
+    /// \brief Loads the history of the turn's program.
+    /// \returns whether it was loaded; otherwise the request was answered.
     awaitable<bool> loadHistory(turn_context_ptr context, response_writer &writer);
     awaitable<bool> loadPrevious(turn_context_ptr context, response_writer &writer);
     awaitable<bool> loadAccount(turn_context_ptr context);
@@ -44,21 +47,22 @@
     awaitable<bool> awaitAdmission(turn_context_ptr context, response_writer &writer);
     awaitable<std::optional<open_reply>> send(turn_context_ptr context, const http_request &request,
                                               response_writer &writer);
-    /// \brief Relays the stream of \p reply, and goes on with it elsewhere if it breaks off and may
+    /// \brief Relays the stream of \p reply, and resumes it at a replica if it breaks off and may
     /// be resumed.
     ///
-    /// \param reply becomes the answer of the last send.
+    /// \param reply becomes the reply of the last send.
     awaitable<stream_result> relay(turn_context_ptr context, open_reply &reply,
                                    const http_request &request, response_writer &writer);
-    /// \brief Ends a turn that was relayed up to its end.
+    /// \brief Finishes a turn whose stream was relayed up to its end.
     awaitable<void> finish(turn_context_ptr context, const http_request &request,
                            const placement &where, stream_result stream, response_writer &writer);
-    /// \brief Charges a turn that broke off with what may have reached the client.
+    /// \brief Charges a turn whose stream broke off for the tokens that may have reached the
+    /// client.
     void chargeIncompleteTurn(const turn_context &context, const stream_result &stream);
     awaitable<void> makeDurable(turn_context_ptr context, turn_ptr finished, std::int64_t used,
                                 std::int64_t events, response_writer &writer);
 
-    /// \brief Settles the account of a turn that is over, beside what follows.
+    /// \brief Settles the reservation of a finished turn in the background.
     void settle(const turn_context &context, std::int64_t used);
     void logReservation(const turn_context &context) const;
     std::string detailOf(turn_refusal refusal, const turn_claim &claim) const;
--- a/src/entry/turn_history.h
+++ b/src/entry/turn_history.h
@@ -6,18 +6,18 @@
 
 namespace azurehill {
 
-/// \brief The daemons keep the history of the program: a turn carries its new input only.
+/// \brief The daemons store the history of the program: a turn carries only its new input.
 struct stored_history
 {
-    /// The turn that this one continues from, or null at the start of a chain.
+    /// The turn that this one continues, or null for the first turn of a chain.
     turn_ptr previous;
 };
 
-/// \brief The program's caller keeps its history: a turn carries the whole prompt.
+/// \brief The client keeps the history of the program: a turn carries the whole prompt.
 struct client_history
 { };
 
-/// \brief Who keeps what was said before a turn.
+/// \brief Where the history of a turn's program is kept.
 using turn_history = std::variant<stored_history, client_history>;
 
 } // namespace azurehill
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -10,25 +10,27 @@
 
 namespace {
 
-/// A replica's connection that lies idle for longer is closed: it may have gone silent. With 6 s, a
-/// third of the new connections of a calm day replaced ones that had run out.
+/// Idle time after which a connection to a replica is closed, since the replica may have stopped
+/// answering. With 6 s, a third of the new connections of a quiet day replaced expired ones.
 constexpr duration maxIdle = seconds(20);
-/// A request that may run once only and is lost on such a connection can't be sent again.
+/// Maximum idle time of a connection that may carry a non-idempotent request: such a request can't
+/// be sent again if it is lost on a dead connection.
 constexpr duration maxIdleNonIdempotent = seconds(6);
 constexpr std::size_t maxIdlePerReplica = 32;
-/// Replicas are a few milliseconds away. A lost opening packet is sent again after a second, by
-/// which time another replica has long answered.
+/// Replicas are a few milliseconds away. A lost SYN is retransmitted after a second, by which time
+/// another replica has long answered.
 constexpr duration connectTimeout = milliseconds(300);
-/// A replica that shows no sign of life on any connection for this long may be dead. It may also
-/// have many requests to work on, or have preempted this one.
+/// A replica without activity on any connection for this long may be dead. It may also be
+/// overloaded, or have preempted this request.
 constexpr duration silenceTimeout = milliseconds(1200);
-/// Replicas that refuse are no attempts, but somewhere the search must end.
+/// Refusals don't count as attempts, so their number is bounded separately.
 constexpr int maxRefusals = 4;
-/// Least time for one attempt of an idempotent request, and its share of the time that is left.
+/// Minimum timeout of one attempt of an idempotent request, and the number of attempts among which
+/// the remaining time is divided.
 constexpr duration minAttemptTimeout = milliseconds(250);
 constexpr int attemptsPerDeadline = 3;
 
-/// Least status of a failure of the replica's own.
+/// Lowest HTTP status that means that the replica failed.
 constexpr int minFailureStatus = 500;
 
 duration attemptTimeout(const entry_call &call, const replica_board &board, time_point now)
@@ -204,7 +206,7 @@
                  {"left_ms", toMilliseconds(fields.timeLeft)}});
     auto head = co_await connection->open(std::move(out), call->deadline);
     if (!head) {
-        // Only a request of which no byte left did certainly not run.
+        // A request certainly did not run only if none of its bytes was sent.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
         const send_end end = didNotRun && !call->clientDisconnected() ? send_end::NotRun
                                                                       : endOf(*call, head.error());
@@ -216,7 +218,7 @@
     call->lastByteAt = runtime_clock::now();
     const reply_kind kind = judgeReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
-        // The time of a failure says nothing of how long answers take.
+        // The response time of a failure says nothing about how long answers take.
         if (head->status < minFailureStatus)
             m_board.onFirstByte(where, placementRequest, call->lastByteAt - call->sentAt,
                                 call->lastByteAt);
@@ -232,7 +234,7 @@
     }
     if (kind == reply_kind::WrongReplica)
         m_board.setLeaving(where.replica.incarnation);
-    // The rest of a refusal is read so that the connection can be used again.
+    // The rest of a refusal is read so that the connection can be reused.
     while (true) {
         const auto chunk = co_await connection->readSome(call->deadline);
         if (!chunk || chunk->empty())
@@ -251,7 +253,8 @@
     call.connection = nullptr;
     call.attemptDeadline.reset();
     std::erase_if(m_inFlight, [&](const entry_call_ptr &c) { return c.get() == &call; });
-    // A connection to a process that is over is dead, and the next request on it would be cut off.
+    // Connections to a process that has ended are dead, and the next request on one of them would
+    // fail.
     const bool isReplaced = m_board.isReplaced(reply.where.replica.incarnation);
     const bool isAnswerRead
         = end == send_end::Answered || end == send_end::Failed || end == send_end::NotRun;
@@ -320,7 +323,7 @@
     ++call->sends;
     bool isUnlisted = !m_board.isListed(broken.replica.incarnation);
     if (!isUnlisted && call->sends >= call->route->maxAttempts) {
-        // No other replica may be asked as long as this one lives.
+        // No other replica may be asked while this one is alive.
         std::string copy = body;
         auto again = co_await sendOnce(call, broken, placementRequest, original, std::move(copy));
         if (again)
--- a/src/entry/upstream_sender.h
+++ b/src/entry/upstream_sender.h
@@ -9,7 +9,7 @@
 
 namespace azurehill {
 
-/// \brief A replica's answer whose body is still to come.
+/// \brief A replica's answer whose body has yet to be read.
 struct open_reply
 {
     placement where;
@@ -24,11 +24,11 @@
     std::string detail;
 };
 
-/// \returns what \p call needs of a replica.
+/// \returns the placement request for \p call.
 placement_request placementRequestFor(const entry_call &call);
 
-/// \brief Sends requests to replicas: chooses one, keeps connections, judges the head of the answer
-/// and tries another replica where that is certainly allowed. Used on the traffic thread.
+/// \brief Upstream client: chooses a replica, pools connections, checks the head of the answer, and
+/// retries at another replica where that is certainly allowed. Used on the traffic thread.
 class upstream_sender
 {
 public:
@@ -36,35 +36,37 @@
                     entry_metrics &metrics);
 
     /// \brief Sends \p call to replicas until one answers.
-    /// \param wanted what is asked of a replica; the replicas that were tried are added to it.
+    /// \param placementRequest requirements on the replica; the replicas that were tried are added
+    /// to it.
     /// \param original the client's request.
-    /// \param body what the replica is to read.
+    /// \param body body of the request to the replica.
     awaitable<tl::expected<open_reply, send_failure>> open(entry_call_ptr call,
                                                            placement_request &placementRequest,
                                                            const http_request &original,
                                                            std::string body);
-    /// \brief Goes on with a stream that broke off after the call's last event.
+    /// \brief Resumes a stream that broke off after the call's last event.
     ///
-    /// The replica that broke off is asked again where the route's attempts are used up; another
-    /// one once that replica is over.
+    /// The replica whose stream broke off is asked again if the attempts of the route are used up;
+    /// another one is asked once that replica is no longer listed.
     /// \param broken where the stream broke off.
     awaitable<tl::expected<open_reply, send_failure>>
     resume(entry_call_ptr call, placement_request &placementRequest, placement broken,
            const http_request &original, std::string body);
-    /// \brief The answer of \p reply is over. Its connection is kept if it can be.
+    /// \brief Records the outcome of the send of \p reply, and keeps its connection if it can be
+    /// reused.
     void finish(entry_call &call, open_reply &reply, send_end end);
 
-    /// \brief Takes in the configuration in force, by which requests are judged once more before
-    /// they go out.
+    /// \brief Sets the configuration in force, against which requests are checked again before they
+    /// are sent.
     void setRoutes(routing_config_ptr routes) { m_routes = std::move(routes); }
 
-    /// \brief Closes the kept connections to a replica whose process is over. One that crashed may
-    /// not have closed them, and a request that may run once only would be lost on them.
+    /// \brief Closes the idle connections to a replica whose process has ended. A process that
+    /// crashed may not have closed them, and a non-idempotent request would be lost on them.
     void dropConnections(const replica_entry &replaced);
 
-    /// \brief Looks after the sends under way: replicas that went silent, times that are over.
+    /// \brief Checks the sends in flight for silent replicas and expired deadlines.
     void sweep(time_point now);
-    /// \returns the number of sends under way.
+    /// \returns the number of sends in flight.
     std::size_t inFlight() const { return m_inFlight.size(); }
 
 private:
@@ -72,13 +74,13 @@
     sendOnce(entry_call_ptr call, placement where, const placement_request &placementRequest,
              const http_request &original, std::string body);
     /// \returns whether the configuration in force still allows \p call, which may have waited
-    /// since it was judged.
+    /// since it was last checked.
     bool isStillAllowed(const entry_call &call) const;
     bool isSilent(const entry_call &call, time_point now) const;
-    /// \brief Asks whether the silent replica of \p call still takes connections.
+    /// \brief Starts to probe whether the silent replica of \p call still accepts connections.
     void probeReplica(const entry_call &call);
-    /// \brief Opens a connection to \p address. If there is none to be had, the silent sends to
-    /// \p who are given up; otherwise they are left to the replica, and the connection is kept.
+    /// \brief Opens a connection to \p address. If that fails, the silent sends to \p who are
+    /// aborted; otherwise they continue, and the connection is kept.
     awaitable<void> probeByConnecting(replica_incarnation who, endpoint address);
 
     asio::any_io_executor m_executor;
@@ -87,7 +89,7 @@
     connection_pool m_pool;
     routing_config_ptr m_routes;
     std::set<entry_call_ptr> m_inFlight;
-    /// Silent replicas that are being asked whether they are alive.
+    /// Silent replicas that are being probed.
     std::set<replica_incarnation> m_probedReplicas;
 };
 
--- a/src/routes/routes.h
+++ b/src/routes/routes.h
@@ -1,6 +1,6 @@
 #pragma once
 
 /// \file
-/// \brief Which route a request takes, and what the operator says of it.
+/// \brief Routing of requests by the operator's configuration.
 
 #include "routes/routing_config.h"
--- a/src/routes/routing_config.h
+++ b/src/routes/routing_config.h
@@ -16,7 +16,7 @@
 
 namespace azurehill {
 
-/// \brief What may be repeated on a route.
+/// \brief Whether requests on a route may be retried, and whether their answers are streams.
 enum class route_kind { Idempotent, NonIdempotent, Stream };
 
 template <>
@@ -39,29 +39,30 @@
     std::string hostname;
     std::string prefix;
     route_kind kind = route_kind::NonIdempotent;
-    /// Longest time that a request is kept waiting.
+    /// Timeout of a request.
     duration timeout = seconds(30);
-    /// Time within which an answer earns full credit.
+    /// Latency objective: time within which an answer has its full value.
     duration latencyObjective = seconds(1);
-    /// Longest pause between the events of a stream that is still on time.
+    /// Maximum gap between the events of a stream that is still on time.
     duration maxEventGap = seconds(1);
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     int priority = 0;
     std::vector<weighted_service> services;
-    /// Most replicas that one request may be sent to.
+    /// Maximum number of replicas to which one request may be sent.
     int maxAttempts = 1;
-    /// A request carries only its new input; the prompt is built from the turns before it.
+    /// Whether a request carries only its new input and the prompt is built from the previous
+    /// turns.
     bool keepsHistory = false;
-    /// How long a turn and its chain are kept.
+    /// How long a turn and its chain are retained.
     duration retention = seconds(0);
     bool sessionAffinity = false;
-    /// A stream that broke off may go on at a replica after its last whole event.
+    /// Whether a stream that broke off may be resumed at a replica after its last complete event.
     bool isResumable = false;
-    /// Requests need no key.
+    /// Whether requests need no key.
     bool isPublic = false;
 };
 
-/// \brief What the configuration says of a service's model engines.
+/// \brief Configuration of a service's model engines.
 struct engine_rule
 {
     int slots = 1;
@@ -73,12 +74,12 @@
 {
     std::string name;
     std::string healthPath;
-    /// Connections that one replica accepts from all daemons together.
+    /// Maximum number of connections that one replica accepts from all daemons together.
     int maxConnections = 1;
     std::optional<engine_rule> engine;
 };
 
-/// \brief Bounds on what a client may send.
+/// \brief Limits on the requests of clients.
 struct client_limits
 {
     std::size_t headerBytes = 16U << 10U;
@@ -87,7 +88,8 @@
     duration idleTime = seconds(60);
 };
 
-/// \brief One version of the configuration. It never changes once made.
+/// \brief Routing configuration: one version of the operator's routes, services, client limits and
+/// accounts. Immutable.
 class routing_config
 {
 public:
--- a/test/io/account_access_test.cpp
+++ b/test/io/account_access_test.cpp
@@ -1,13 +1,13 @@
 #include <doctest/doctest.h>
 
-// doctest's macros are used by the world.
+// entry_fixture.h uses doctest's macros.
 #include "entry_fixture.h"
 
 namespace azurehill::test {
 
 namespace {
 
-/// \returns the routes of the world with two accounts; "/open/" is public.
+/// \returns the routes of the fixture with two accounts; "/open/" is public.
 routing_config_ptr routesWithAccounts(std::uint64_t version, const std::string &keyOfFirst,
                                       std::optional<request_quota> quota = std::nullopt)
 {
@@ -52,7 +52,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// \brief A world whose configuration has accounts.
+/// \brief Fixture whose configuration has accounts.
 struct account_fixture : entry_fixture
 {
     account_fixture() { service->setRoutes(routesWithAccounts(2, "k1")); }
--- a/test/io/entry_fixture.h
+++ b/test/io/entry_fixture.h
@@ -12,7 +12,7 @@
 
 namespace azurehill::test {
 
-/// \brief A replica that plays back what a test wrote for it, byte for byte.
+/// \brief Replica that replays the responses that a test wrote for it, byte for byte.
 class scripted_replica
 {
 public:
@@ -27,13 +27,13 @@
         spawn(context.get_executor(), "acceptAll", acceptAll());
     }
 
-    /// What the replica sends for each request, in order; "ID" stands for the request's id. When
-    /// nothing is left, it answers well. An empty text closes the connection, "<close>" at the end
-    /// does after what precedes it; at "<pause>" it is silent for a while.
+    /// Responses to the requests, in order; "ID" stands for the request's id. When none is left,
+    /// the replica answers successfully. An empty response closes the connection, "<close>" at the
+    /// end closes it after what precedes; at "<pause>" the replica is silent for a while.
     std::deque<std::string> script;
-    /// Called when a scripted reply is about to go out.
+    /// Called before a scripted response is sent.
     std::function<void()> onReply;
-    /// Connections that were opened to the replica.
+    /// Number of connections that were opened to the replica.
     int connections = 0;
     /// Requests that arrived, head and body.
     std::vector<std::string> arrived;
@@ -43,17 +43,17 @@
     /// How long the replica is silent at "<pause>".
     static constexpr duration silence = milliseconds(1700);
 
-    /// \brief Takes no more connections, as a replica does whose host has no power.
+    /// \brief Stops accepting connections, as a replica does whose host has lost power.
     void closeAcceptor() { m_acceptor.close(); }
 
-    /// \returns a whole good answer with \p body.
+    /// \returns a complete successful response with \p body.
     static std::string good(const std::string &body)
     {
         return fmt::format("HTTP/1.1 200 OK\r\nX-Azurehill-Request-Id: ID\r\n"
                            "X-Azurehill-Server-Stamp: stamp\r\nContent-Length: {}\r\n\r\n{}",
                            body.size(), body);
     }
-    /// \returns a whole stream of \p events.
+    /// \returns a complete stream of \p events.
     static std::string stream(int events)
     {
         std::string text = "HTTP/1.1 200 OK\r\nX-Azurehill-Request-Id: ID\r\n"
@@ -157,7 +157,7 @@
     asio::ip::tcp::acceptor m_acceptor;
 };
 
-/// \brief An entry service with a store and replicas in one process.
+/// \brief Test fixture: an entry service with a store and replicas in one process.
 class entry_fixture
 {
 public:
@@ -174,7 +174,7 @@
         begin(makeRoutes());
     }
 
-    /// \brief Puts a daemon that knows nothing in the place of the first one.
+    /// \brief Replaces the daemon by a new one that has no state.
     void restart(const routing_config_ptr &routes = makeRoutes())
     {
         settings.clients.port = port = freePort();
@@ -214,7 +214,8 @@
         return r;
     }
 
-    /// \brief Sends one request. \returns all that comes back until the connection ends.
+    /// \brief Sends one request.
+    /// \returns all bytes that are received until the connection ends.
     std::string ask(const std::string &head, const std::string &body = "")
     {
         std::string answer;
@@ -222,7 +223,7 @@
         return answer;
     }
 
-    /// \brief As ask, on a paused clock that moves on in steps.
+    /// \brief Like ask, on a paused clock that advances in steps.
     std::string askInSteps(const std::string &head, const std::string &body = "")
     {
         std::string answer;
@@ -231,7 +232,7 @@
         return answer;
     }
 
-    /// \brief Asks for a turn of the program "p".
+    /// \brief Requests a turn of the program "p".
     std::string turn(const std::string &id, const std::string &previous, const std::string &input,
                      int budget = 1000)
     {
@@ -245,7 +246,7 @@
         return ask(head, input);
     }
 
-    /// \brief Asks for a turn of the program "p" whose caller keeps its history.
+    /// \brief Requests a turn of the program "p" whose client keeps its history.
     /// \param more further headers, each after a line end.
     std::string chat(const std::string &id, const std::string &prompt, int budget = 1000,
                      const std::string &more = "")
@@ -268,11 +269,11 @@
     entry_metrics metrics;
     std::uint16_t port = freePort();
     host_settings settings;
-    /// The daemon that serves, the last of these.
+    /// The current daemon, the last one of \c services.
     entry_service *service = nullptr;
     std::vector<std::unique_ptr<entry_service>> services;
 
-    /// \returns a port on which nobody listens.
+    /// \returns a port without a listener.
     std::uint16_t freePort()
     {
         asio::ip::tcp::acceptor probe(context, {asio::ip::address_v4::loopback(), 0});
--- a/test/io/entry_service_test.cpp
+++ b/test/io/entry_service_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-// doctest's macros are used by the world.
+// entry_fixture.h uses doctest's macros.
 #include "entry_fixture.h"
 
 namespace azurehill::test {
@@ -67,8 +67,8 @@
         }
         SUBCASE("a second answer on a kept connection")
         {
-            // A runner's receipt showed another runner's name: the replica had answered the request
-            // before twice, and the second answer was read as that of the next request.
+            // Guards against an answer to the wrong request: a replica had answered a request
+            // twice, and the second answer was read as that of the next request on the connection.
             const std::string twice
                 = scripted_replica::good("first") + scripted_replica::good("first again");
             w.a.script = w.b.script = {twice};
@@ -96,7 +96,8 @@
         }
         SUBCASE("a non-idempotent one whose answer was lost does not, and is not called refused")
         {
-            // A family paid twice: the first receipt was written and its answer lost.
+            // Guards against a payment that is executed twice: the first one had been executed and
+            // its answer lost.
             w.a.script = w.b.script = {""};
             CHECK(statusOf(w.ask(request("/unsafe/x", "r1"))) == 502);
             CHECK(w.a.arrived.size() + w.b.arrived.size() == 1);
@@ -126,8 +127,8 @@
 
         SUBCASE("after ten idle seconds by a request that may be sent again")
         {
-            // Every other request of a quiet night opened a connection, each of which takes one of
-            // the replica's slots for a moment and is priced.
+            // Guards against a new connection for every other request at low load. Each one takes a
+            // slot of the replica for a moment and is charged.
             for (int i = 0; i < 20; ++i) {
                 CHECK(statusOf(w.ask(request("/safe/x", "r" + std::to_string(i)))) == 200);
                 runtime_clock::advance(seconds(10));
@@ -136,7 +137,7 @@
         }
         SUBCASE("but none to a process that is over")
         {
-            // A receipt was lost each time a replica had started again under its id: its old
+            // Guards against a request lost each time a replica restarts under its id: its old
             // connections looked alive, and the first request on each was cut off.
             CHECK(statusOf(w.ask(request("/unsafe/x", "r1"))) == 200);
             replica_entry restarted = w.a.entry;
@@ -147,8 +148,9 @@
         }
         SUBCASE("but a request that may run once only gets one that was in use just now")
         {
-            // A payment went out on a connection whose replica had fallen silent a while ago. It
-            // could not be sent again, and the family saw an error for a replica long replaced.
+            // Guards against a non-idempotent request on a connection whose replica had fallen
+            // silent a while ago. It could not be sent again, and the client got an error because
+            // of a replica that had long been replaced.
             CHECK(statusOf(w.ask(request("/unsafe/x", "u1"))) == 200);
             runtime_clock::advance(seconds(5));
             CHECK(statusOf(w.ask(request("/unsafe/x", "u2"))) == 200);
@@ -186,8 +188,8 @@
 
     TEST_CASE("a stream that breaks off does not look whole, and its turn does not count")
     {
-        // A translator's page ended in mid-sentence and was taken as finished: the replica had
-        // crashed, and the daemon had closed the answer properly.
+        // Guards against a truncated answer that is taken as finished: the replica had crashed, and
+        // the daemon had closed the answer properly.
         entry_fixture w;
         std::string broken = scripted_replica::stream(3);
         broken.resize(broken.size() - 5);
@@ -221,8 +223,8 @@
         }
         SUBCASE("the end of an answer waits until it is durable")
         {
-            // A teacher's turn was answered whole, all hosts lost power, and the next page was
-            // answered 404. The store had not acknowledged the turn yet.
+            // Guards against a turn that is lost after its answer was complete: all hosts lost
+            // power before the store had acknowledged it, and the next turn was answered 404.
             w.model.script = {scripted_replica::stream(2)};
             int commits = 0;
             w.store.nextTrouble = [&](std::string_view path) {
@@ -244,8 +246,8 @@
 
     TEST_CASE("the metrics tell how replicas behave")
     {
-        // On call, the sends of a host whose replicas had all failed could not be told from those
-        // of a host without traffic: the counter was there and nothing ever counted.
+        // Guards against a counter that is never incremented: the sends of a host whose replicas
+        // had all failed could not be told from those of a host without traffic.
         entry_fixture w;
 
         SUBCASE("how what is sent to them ends")
@@ -263,7 +265,7 @@
                 return contains(w.metrics.toText({}),
                                 "azurehill_state{what=\"doubted_replicas\"} 1");
             };
-            // The daemon looks at its replicas now and then while it answers other requests.
+            // The daemon updates this gauge periodically while it answers other requests.
             for (int i = 0; i < 1000 && !isReported(); ++i)
                 w.ask(request("/nowhere", "r2"));
             CHECK(isReported());
@@ -272,8 +274,8 @@
 
     TEST_CASE("a daemon that knows no configuration calls no route unknown")
     {
-        // Right after all hosts had lost power, lessons ended with 404: a daemon had begun to
-        // listen before it had read the configuration.
+        // Guards against requests answered with 404 after all hosts had lost power: a daemon had
+        // begun to listen before it had read the configuration.
         entry_fixture w;
         w.restart(nullptr);
         CHECK(statusOf(w.ask(request("/safe/x", "r1"))) == 503);
@@ -286,7 +288,7 @@
     {
         entry_fixture w;
         const std::string smuggled = request("/safe/x", "r1")
-            + "\r\nTransfer-Encoding: chunked"; // beside the Content-Length that ask() adds
+            + "\r\nTransfer-Encoding: chunked"; // in addition to the Content-Length that ask() adds
         CHECK(statusOf(w.ask(smuggled, "0\r\n\r\nGET /safe/y HTTP/1.1\r\n\r\n")) == 400);
         CHECK(statusOf(w.ask(request("/safe/x", "r1") + "\r\nX-Azurehill-Request-Id: r2")) == 400);
         CHECK(w.a.arrived.size() + w.b.arrived.size() == 0);
--- a/test/io/replica_discovery_test.cpp
+++ b/test/io/replica_discovery_test.cpp
@@ -16,7 +16,7 @@
         + std::to_string(slots) + R"(,"state":")" + state + R"(","seq_no":1,"born":5})";
 }
 
-/// \brief A daemon with its own view of the store, which answers others.
+/// \brief A daemon with its own view of the store, which serves its changes to others.
 struct discovery_daemon
 {
     discovery_daemon(asio::io_context &context, row_store &rows, const std::string &name)
@@ -71,7 +71,8 @@
 {
     TEST_CASE("a daemon that does not reach the store takes the entries from one that does")
     {
-        // A host that the store turns away would send work to a replica that leaves.
+        // Guards against a host that the store rejects and that would send requests to a leaving
+        // replica.
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
@@ -101,7 +102,7 @@
 
     TEST_CASE("a daemon whose peer hands nothing out reads the table itself")
     {
-        // The peer was killed after it told that it has newer entries.
+        // The peer was killed after it had announced newer entries.
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
@@ -145,7 +146,7 @@
             }
             look();
             CHECK(daemon.follower.replicas().at({"i-7"}).slots == 4 + looks - 1);
-            // A few reads are of all rows, to find out a copy that went wrong.
+            // A few reads are of all rows, to detect a copy that is wrong.
             CHECK(daemon.inner.rowsRead < 6 * entries);
         }
         SUBCASE("and of one that is gone")
@@ -193,7 +194,7 @@
         }
     }
 
-    // Guards against a daemon that is kept busy with copies of the whole table.
+    // Guards against a daemon that is kept busy serving the full table.
     TEST_CASE("the whole table is handed out now and then only")
     {
         const paused_clock pause;
--- a/test/io/stream_resume_test.cpp
+++ b/test/io/stream_resume_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-// doctest's macros are used by the world.
+// entry_fixture.h uses doctest's macros.
 #include "entry_fixture.h"
 
 namespace azurehill::test {
@@ -20,7 +20,8 @@
     return found;
 }
 
-/// \returns a stream of the events \p from to \p to that ends with its connection, or whole.
+/// \returns a stream of the events \p from to \p to, either complete or broken off by the end of
+/// its connection.
 std::string events(int from, int to, bool isWhole)
 {
     std::string text = "HTTP/1.1 200 OK\r\nX-Azurehill-Request-Id: ID\r\n"
@@ -33,7 +34,7 @@
     return text + (isWhole ? "0\r\n\r\n" : "<close>");
 }
 
-/// \returns \p stream with a part of one more event before it breaks off.
+/// \returns \p stream with an incomplete further event before it breaks off.
 std::string torn(std::string stream)
 {
     const std::string part = "id: 9\ndata: to";
@@ -52,7 +53,7 @@
 
 TEST_SUITE("streams that break off")
 {
-    // Guards against programs that fail with a replica in the middle of its answer.
+    // Guards against programs that fail when a replica fails in the middle of its answer.
     TEST_CASE("a stream goes on after the last event that the client has")
     {
         entry_fixture w;
@@ -111,7 +112,7 @@
         w.service->setReplicas({w.model.entry});
         w.model.script = {events(1, 1, false)};
         second.script = {events(2, 2, true)};
-        // The first one is gone as soon as it has broken off.
+        // The first replica accepts no connections once its stream has broken off.
         w.model.onReply = [&] {
             w.model.closeAcceptor();
             w.service->setReplicas({w.model.entry, second.entry});
@@ -123,7 +124,7 @@
         CHECK(contains(second.arrived[0], "Last-Event-Id: 1\r\n"));
     }
 
-    // Guards against an answer that is cut although its replica only has too much to do.
+    // Guards against an answer that is cut off although its replica is only overloaded.
     TEST_CASE("a silent replica is waited for as long as it takes connections")
     {
         entry_fixture w;
--- a/test/process/entry_test.cpp
+++ b/test/process/entry_test.cpp
@@ -28,7 +28,7 @@
    "service":"tools","max_attempts":2}],
   "services":[{"name":"tools","max_connections":10}],"limits":{}})";
 
-/// \brief A store and a replica on a thread of their own, for one azurehill-entry.
+/// \brief Test fixture: a store and a replica on a thread of their own, for one azurehill-entry.
 class platform_fixture
 {
 public:
@@ -78,7 +78,7 @@
         return entry;
     }
 
-    /// \brief Writes the replica's entry as its process that began at \p born would.
+    /// \brief Writes the replica's entry as a process that started at \p born would.
     void writeReplica(const std::string &state, std::int64_t born, int sequence)
     {
         writeRow({"servers", "", "i-1"},
@@ -115,7 +115,7 @@
     /// Requests wait at the replica until this is set.
     std::atomic<bool> mayAnswer{true};
     std::atomic<int> arrived{0};
-    /// Calls of the store get no answer.
+    /// Whether calls to the store get no answer.
     std::atomic<bool> isStoreSilent{false};
 
 private:
@@ -141,7 +141,7 @@
     std::thread m_thread;
 };
 
-/// \returns the answer to a request on a connection of its own; status 0 for none.
+/// \returns the answer to a request on a new connection; status 0 if there is none.
 http_response get(std::uint16_t port, const std::string &target)
 {
     asio::io_context context;
@@ -186,8 +186,8 @@
 
         SUBCASE("SIGHUP takes over changed settings and does not end it")
         {
-            // Hosts lost their daemons one after the other while the platform rolled out new
-            // settings: the signal that announces them ended the process.
+            // Guards against SIGHUP ending the process: the platform announces new settings by it,
+            // and a roll-out ended the daemons of one host after the other.
             world.writeSettings(9);
             entry.signal(SIGHUP);
             CHECK(holdsWithin(testTimeout, [&] {
@@ -199,7 +199,7 @@
 
         SUBCASE("SIGTERM takes it out of the readiness check, and cuts no answer off")
         {
-            // A class lost the page that was being read aloud when a host was restarted.
+            // Guards against an answer that is cut off because its host is restarted.
             world.mayAnswer = false;
             http_response answer;
             std::thread caller([&] { answer = get(ports[0], "/a/slow"); });
@@ -217,9 +217,10 @@
 
     TEST_CASE("SIGTERM while the store is silent ends it within its grace time")
     {
-        // In a rolling restart beside a silent store, each daemon logged "not_unregistered",
-        // "deadline passed" a second after SIGTERM. Its row in the store was waited for whatever
-        // the grace time, so a daemon with one of a second was killed in the middle of its answers.
+        // Guards against a shutdown that takes longer than the grace time. The daemon waited for
+        // the removal of its row whatever the grace time: with a silent store it logged
+        // "not_unregistered", "deadline passed" a second after SIGTERM, so with a grace time of a
+        // second it was killed in the middle of its answers.
         platform_fixture world;
         constexpr int graceSeconds = 1;
         world.writeSettings(graceSeconds);
@@ -240,8 +241,8 @@
 
     TEST_CASE("a replica that starts again under its id takes work again")
     {
-        // A replica drained for planned work, crashed, and came back under its id. Its requests
-        // went unserved for the rest of the day: the daemons remembered that it was leaving.
+        // Guards against a restarted replica that gets no requests: it drained, crashed and came
+        // back under its id, and for the rest of the day the daemons still regarded it as leaving.
         platform_fixture world;
         child entry = world.startEntry();
         REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
@@ -265,8 +266,9 @@
 
     TEST_CASE("a reader of the log that stands still costs no request")
     {
-        // A collector of logs stopped reading, the pipe filled up, and every daemon of the host
-        // stood still in the middle of its answers until the collector was restarted.
+        // Guards against a daemon that blocks on its log: a log collector stopped reading, the pipe
+        // filled up, and every daemon of the host stalled in the middle of its answers until the
+        // collector was restarted.
         platform_fixture world;
         const std::string log = world.folder.path() + "/entry.log";
         constexpr mode_t ownerOnly = 0600;
@@ -275,7 +277,8 @@
         REQUIRE(unread >= 0);
         child entry = world.startEntry();
         REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
-        // Some 700 bytes a request: many times what the pipe takes, and more than the buffer.
+        // Some 700 bytes of log per request: many times the capacity of the pipe, and more than the
+        // log buffer.
         constexpr int requests = 2000;
         int whole = 0;
         while (whole < requests && get(world.ports()[0], "/a/x").body == "whole")
