--- a/src/entry/engine_admission.cpp
+++ b/src/entry/engine_admission.cpp
@@ -35,8 +35,8 @@
     return ticket;
 }
 
-void logPlace(const entry_call &call, const gate_ticket &ticket, const service_gate &gate,
-              bool granted, duration waited)
+void logAdmission(const entry_call &call, const gate_ticket &ticket, const service_gate &gate,
+                  bool granted, duration waited)
 {
     logDecision(granted ? log_event::PlaceGranted : log_event::PlaceNotGranted,
                 {{"request", call.request.id},
@@ -145,7 +145,7 @@
     gate.withdraw(ticket.number);
     call->holdsEngineSlot = wait->granted;
     const duration waited = runtime_clock::now() - began;
-    logPlace(*call, ticket, gate, wait->granted, waited);
+    logAdmission(*call, ticket, gate, wait->granted, waited);
     m_metrics.onPhase(call->route->name, request_phase::Admission, waited);
     if (call->clientDisconnected())
         release(*call);
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -42,7 +42,7 @@
     return std::min(preferred, std::max<duration>(evenShare, minAttemptTimeout));
 }
 
-send_end endOf(const entry_call &call, const http_error &error)
+send_end failedSendEnd(const entry_call &call, const http_error &error)
 {
     switch (call.abortReason) {
     case abort_reason::ClientDisconnected:
@@ -208,8 +208,9 @@
     if (!head) {
         // A request certainly did not run only if none of its bytes was sent.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
-        const send_end end = didNotRun && !call->clientDisconnected() ? send_end::NotRun
-                                                                      : endOf(*call, head.error());
+        const send_end end = didNotRun && !call->clientDisconnected()
+            ? send_end::NotRun
+            : failedSendEnd(*call, head.error());
         if (!didNotRun)
             call->mayHaveRun = true;
         finish(*call, reply, end);
--- a/test/io/replica_discovery_test.cpp
+++ b/test/io/replica_discovery_test.cpp
@@ -20,10 +20,10 @@
 struct discovery_daemon
 {
     discovery_daemon(asio::io_context &context, row_store &rows, const std::string &name)
-        : inner(rows), follower(context.get_executor(), inner,
-                                std::make_shared<peer_transport>(context.get_executor(),
-                                                                 endpoint{"127.0.0.1", 1}),
-                                {name}, {}, [this](std::vector<replica_entry>) { ++updates; }),
+        : inner(rows), discovery(context.get_executor(), inner,
+                                 std::make_shared<peer_transport>(context.get_executor(),
+                                                                  endpoint{"127.0.0.1", 1}),
+                                 {name}, {}, [this](std::vector<replica_entry>) { ++updates; }),
           server(context.get_executor(), {},
                  [this](const http_request &request, response_writer &writer) {
                      return answer(request, writer);
@@ -35,14 +35,17 @@
     awaitable<void> answer(const http_request &request, response_writer &writer)
     {
         ++changeRequests;
-        http_response response = follower.serveChanges(request);
+        http_response response = discovery.serveChanges(request);
         co_await writer.write(std::move(response));
     }
 
-    digest_news announcement() const { return {address, *follower.digest(), runtime_clock::now()}; }
+    digest_news announcement() const
+    {
+        return {address, *discovery.digest(), runtime_clock::now()};
+    }
 
     model_store inner;
-    replica_discovery follower;
+    replica_discovery discovery;
     http_server server;
     endpoint address;
     int updates = 0;
@@ -81,18 +84,18 @@
         put(rows, "i-1", entryText(4));
         put(rows, "i-2", entryText(4));
         auto body = [&]() -> awaitable<void> {
-            spawn(context.get_executor(), "follow", reader.follower.follow());
+            spawn(context.get_executor(), "follow", reader.discovery.follow());
             co_await untilUpdates(reader, 1);
-            other.follower.onDigest(reader.announcement());
+            other.discovery.onDigest(reader.announcement());
             co_await untilUpdates(other, 1);
         };
         runIn(context, body());
-        CHECK(other.follower.replicas().size() == 2);
+        CHECK(other.discovery.replicas().size() == 2);
         CHECK(reader.changeRequests == 1);
 
         SUBCASE("and asks nothing while the copies are the same")
         {
-            other.follower.onDigest(reader.announcement());
+            other.discovery.onDigest(reader.announcement());
             auto wait = [&]() -> awaitable<void> { co_await yieldOnce(); };
             runIn(context, wait());
             CHECK(reader.changeRequests == 1);
@@ -110,42 +113,43 @@
         put(rows, "i-1", entryText(4, "draining"));
         auto body = [&]() -> awaitable<void> {
             const endpoint unreachable{"127.0.0.1", 1};
-            other.follower.onDigest({unreachable, {99, 1, duration::zero()}, runtime_clock::now()});
+            other.discovery.onDigest(
+                {unreachable, {99, 1, duration::zero()}, runtime_clock::now()});
             co_await untilUpdates(other, 1);
         };
         runIn(context, body());
-        REQUIRE(other.follower.replicas().size() == 1);
-        CHECK(other.follower.replicas().begin()->second.draining);
+        REQUIRE(other.discovery.replicas().size() == 1);
+        CHECK(other.discovery.replicas().begin()->second.draining);
     }
 
     // Guards against reads that grow with the number of replicas, whatever changes.
     TEST_CASE("a daemon that has a copy reads what changed since")
     {
         constexpr int entries = 1000;
-        constexpr int looks = 40;
+        constexpr int polls = 40;
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
         discovery_daemon daemon(context, rows, "reader");
         for (int i = 0; i < entries; ++i)
             put(rows, "i-" + std::to_string(i), entryText(4));
-        const auto look = [&] {
+        const auto poll = [&] {
             auto wait = []() -> awaitable<void> { co_await sleepFor(milliseconds(600)); };
             runInSteps(context, wait(), milliseconds(100));
         };
-        spawn(context.get_executor(), "follow", daemon.follower.follow());
-        look();
-        REQUIRE(daemon.follower.replicas().size() == entries);
+        spawn(context.get_executor(), "follow", daemon.discovery.follow());
+        poll();
+        REQUIRE(daemon.discovery.replicas().size() == entries);
         CHECK(daemon.inner.rowsRead == entries);
 
         SUBCASE("and takes in only that")
         {
-            for (int i = 0; i < looks; ++i) {
+            for (int i = 0; i < polls; ++i) {
                 put(rows, "i-7", entryText(4 + i));
-                look();
+                poll();
             }
-            look();
-            CHECK(daemon.follower.replicas().at({"i-7"}).slots == 4 + looks - 1);
+            poll();
+            CHECK(daemon.discovery.replicas().at({"i-7"}).slots == 4 + polls - 1);
             // A few reads are of all rows, to detect a copy that is wrong.
             CHECK(daemon.inner.rowsRead < 6 * entries);
         }
@@ -155,16 +159,16 @@
             t.removals.push_back({"servers", "", "i-7"});
             REQUIRE(rows.apply(t));
             for (int i = 0; i < 3; ++i)
-                look();
-            CHECK(daemon.follower.replicas().size() == entries - 1);
+                poll();
+            CHECK(daemon.discovery.replicas().size() == entries - 1);
         }
         SUBCASE("or all rows when the store has forgotten that")
         {
             daemon.inner.historyIsGone = true;
             put(rows, "i-7", entryText(6));
             for (int i = 0; i < 3; ++i)
-                look();
-            CHECK(daemon.follower.replicas().at({"i-7"}).slots == 6);
+                poll();
+            CHECK(daemon.discovery.replicas().at({"i-7"}).slots == 6);
         }
     }
 
@@ -180,8 +184,8 @@
             for (int i = 0; i < size; ++i) {
                 daemons.push_back(
                     std::make_unique<discovery_daemon>(context, rows, "d" + std::to_string(i)));
-                daemons.back()->follower.setDaemonCount(std::size_t(size));
-                spawn(context.get_executor(), "follow", daemons.back()->follower.follow());
+                daemons.back()->discovery.setDaemonCount(std::size_t(size));
+                spawn(context.get_executor(), "follow", daemons.back()->discovery.follow());
             }
             const paused_clock pause;
             auto wait = []() -> awaitable<void> { co_await sleepFor(milliseconds(100)); };
@@ -204,16 +208,16 @@
         for (int i = 0; i < 200; ++i)
             put(rows, "i-" + std::to_string(i), entryText(4));
         auto body = [&]() -> awaitable<void> {
-            spawn(context.get_executor(), "follow", reader.follower.follow());
+            spawn(context.get_executor(), "follow", reader.discovery.follow());
             co_await untilUpdates(reader, 1);
         };
         runIn(context, body());
         http_request whole;
         whole.target = "/inner/replicas?after=0";
-        CHECK(reader.follower.serveChanges(whole).status == 200);
-        CHECK(reader.follower.serveChanges(whole).status == 503);
+        CHECK(reader.discovery.serveChanges(whole).status == 200);
+        CHECK(reader.discovery.serveChanges(whole).status == 503);
         runtime_clock::advance(seconds(1));
-        CHECK(reader.follower.serveChanges(whole).status == 200);
+        CHECK(reader.discovery.serveChanges(whole).status == 200);
     }
 
     TEST_CASE("what is no version is refused, and nothing is handed out before there is a copy")
@@ -225,9 +229,9 @@
         http_request request;
         request.target = "/inner/replicas?after=x";
         CHECK(replica_discovery::isChangesRequest(request));
-        CHECK(daemon.follower.serveChanges(request).status == 400);
+        CHECK(daemon.discovery.serveChanges(request).status == 400);
         request.target = "/inner/replicas?after=3";
-        CHECK(daemon.follower.serveChanges(request).status == 503);
+        CHECK(daemon.discovery.serveChanges(request).status == 503);
     }
 }
 
--- a/test/process/entry_test.cpp
+++ b/test/process/entry_test.cpp
@@ -163,9 +163,9 @@
     return answer;
 }
 
-bool isReady(const platform_fixture &world)
+bool isReady(const platform_fixture &fixture)
 {
-    const std::uint16_t port = world.ports()[1];
+    const std::uint16_t port = fixture.ports()[1];
     return port != 0 && get(port, "/azurehill/ready").status == 200;
 }
 
@@ -175,10 +175,10 @@
 {
     TEST_CASE("it serves once it knows the configuration and the replicas")
     {
-        platform_fixture world;
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
-        const auto ports = world.ports();
+        platform_fixture fixture;
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        const auto ports = fixture.ports();
         CHECK(get(ports[0], "/a/x").body == "whole");
         const std::string addresses
             = get(ports[2], "/azurehill/resolve?name=h.example&region=r&zone=z").body;
@@ -188,7 +188,7 @@
         {
             // Guards against SIGHUP ending the process: the platform announces new settings by it,
             // and a roll-out ended the daemons of one host after the other.
-            world.writeSettings(9);
+            fixture.writeSettings(9);
             entry.signal(SIGHUP);
             CHECK(holdsWithin(testTimeout, [&] {
                 return entry.log().find(R"("event":"reloaded")") != std::string::npos;
@@ -200,14 +200,14 @@
         SUBCASE("SIGTERM takes it out of the readiness check, and cuts no answer off")
         {
             // Guards against an answer that is cut off because its host is restarted.
-            world.mayAnswer = false;
+            fixture.mayAnswer = false;
             http_response answer;
             std::thread caller([&] { answer = get(ports[0], "/a/slow"); });
-            CHECK(holdsWithin(testTimeout, [&] { return world.arrived == 2; }));
+            CHECK(holdsWithin(testTimeout, [&] { return fixture.arrived == 2; }));
             entry.signal(SIGTERM);
-            CHECK(holdsWithin(testTimeout, [&] { return !isReady(world); }));
+            CHECK(holdsWithin(testTimeout, [&] { return !isReady(fixture); }));
             CHECK_FALSE(entry.exitStatus());
-            world.mayAnswer = true;
+            fixture.mayAnswer = true;
             caller.join();
             CHECK(answer.body == "whole");
             CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
@@ -221,12 +221,12 @@
         // the removal of its row whatever the grace time: with a silent store it logged
         // "not_unregistered", "deadline passed" a second after SIGTERM, so with a grace time of a
         // second it was killed in the middle of its answers.
-        platform_fixture world;
+        platform_fixture fixture;
         constexpr int graceSeconds = 1;
-        world.writeSettings(graceSeconds);
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
-        world.isStoreSilent = true;
+        fixture.writeSettings(graceSeconds);
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        fixture.isStoreSilent = true;
         entry.signal(SIGTERM);
         CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 0);
@@ -243,20 +243,20 @@
     {
         // Guards against a restarted replica that gets no requests: it drained, crashed and came
         // back under its id, and for the rest of the day the daemons still regarded it as leaving.
-        platform_fixture world;
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
-        const auto isServed = [&] { return get(world.ports()[0], "/a/x").body == "whole"; };
+        platform_fixture fixture;
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        const auto isServed = [&] { return get(fixture.ports()[0], "/a/x").body == "whole"; };
         REQUIRE(isServed());
-        world.writeReplica("draining", platform_fixture::bornFirst, 2);
+        fixture.writeReplica("draining", platform_fixture::bornFirst, 2);
         REQUIRE(holdsWithin(testTimeout, [&] { return !isServed(); }));
-        world.writeReplica("ready", platform_fixture::bornFirst + 5000, 1);
+        fixture.writeReplica("ready", platform_fixture::bornFirst + 5000, 1);
         CHECK(holdsWithin(testTimeout, isServed));
 
         SUBCASE("and a last word of its old process, written late, changes nothing")
         {
-            world.writeReplica("draining", platform_fixture::bornFirst, 3);
-            world.writeRow({"servers", "", "i-2"}, "not a replica");
+            fixture.writeReplica("draining", platform_fixture::bornFirst, 3);
+            fixture.writeRow({"servers", "", "i-2"}, "not a replica");
             CHECK(holdsWithin(testTimeout, [&] {
                 return entry.log().find("replica_row_unreadable") != std::string::npos;
             }));
@@ -269,19 +269,19 @@
         // Guards against a daemon that blocks on its log: a log collector stopped reading, the pipe
         // filled up, and every daemon of the host stalled in the middle of its answers until the
         // collector was restarted.
-        platform_fixture world;
-        const std::string log = world.folder.path() + "/entry.log";
+        platform_fixture fixture;
+        const std::string log = fixture.folder.path() + "/entry.log";
         constexpr mode_t ownerOnly = 0600;
         REQUIRE(mkfifo(log.c_str(), ownerOnly) == 0);
         const int unread = open(log.c_str(), O_RDWR | O_CLOEXEC);
         REQUIRE(unread >= 0);
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(world); }));
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
         // Some 700 bytes of log per request: many times the capacity of the pipe, and more than the
         // log buffer.
         constexpr int requests = 2000;
         int whole = 0;
-        while (whole < requests && get(world.ports()[0], "/a/x").body == "whole")
+        while (whole < requests && get(fixture.ports()[0], "/a/x").body == "whole")
             ++whole;
         CHECK(whole == requests);
         entry.signal(SIGTERM);
@@ -292,9 +292,9 @@
 
     TEST_CASE("settings that can't be used are named, and it does not start")
     {
-        platform_fixture world;
-        std::ofstream(world.settingsPath()) << "ip = 3\n";
-        child entry = world.startEntry();
+        platform_fixture fixture;
+        std::ofstream(fixture.settingsPath()) << "ip = 3\n";
+        child entry = fixture.startEntry();
         CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 2);
         CHECK(entry.log().find("node_name must be a text") != std::string::npos);
