--- a/bench/bench_capacity_state.cpp
+++ b/bench/bench_capacity_state.cpp
@@ -50,9 +50,9 @@
     return static_cast<double>(heldNow - before + sizeof(made));
 }
 
-program_book makeBook(int programs, int turns)
+program_registry makeBook(int programs, int turns)
 {
-    program_book book;
+    program_registry book;
     for (int i = 0; i < programs; ++i) {
         const program_id id = makeProgramId();
         book.apply(makeCreated(id));
--- a/bench/bench_capacity_time.cpp
+++ b/bench/bench_capacity_time.cpp
@@ -56,7 +56,8 @@
 }
 
 /// \brief What control does for one turn of a program, without its sockets.
-void runTurn(program_book &book, commit_batcher &batcher, const program_id &id, std::int64_t turn)
+void runTurn(program_registry &book, commit_batcher &batcher, const program_id &id,
+             std::int64_t turn)
 {
     const call_begun begun = makeBegun(id, turn);
     const auto decision = book.decide(makeRequest(id, turn), 1);
@@ -79,7 +80,7 @@
 {
     series byHistory({"time.turn", "us", "turns before it"});
     for (const int before : {0, 15, 30, 60, 119}) {
-        program_book book;
+        program_registry book;
         commit_settings noPause;
         noPause.interval = duration(0);
         commit_batcher batcher({"daemon-0001"}, "0123456789ab", noPause);
@@ -90,7 +91,7 @@
             book.apply(makeBegun(id, turn));
             book.apply(makeFinished(id, turn));
         }
-        const program_book start = book;
+        const program_registry start = book;
         // Copying the book is part of the loop but not of a turn.
         const double copying = microseconds([&] { keep(book = start); });
         const double both = microseconds([&] {
@@ -116,7 +117,7 @@
         const std::string text = encode(batch);
         encoding.add(turns, microseconds([&] { keep(encode(batch)); }));
         replay.add(turns, microseconds([&] {
-                       program_book book;
+                       program_registry book;
                        const auto decoded = decodeBatch(text);
                        for (const journal_record &r : decoded->records)
                            book.apply(r);
--- a/bench/bench_policy.cpp
+++ b/bench/bench_policy.cpp
@@ -113,7 +113,7 @@
     return all;
 }
 
-figures runOne(const job &j, int seed, const sched_knobs &knobs)
+figures runOne(const job &j, int seed, const scheduler_parameters &knobs)
 {
     const auto s = std::uint64_t(seed) + 1;
     const run_result result = policy_run(j.setting, j.policy, knobs, s).run();
@@ -135,7 +135,7 @@
     return f;
 }
 
-void runAll(std::vector<job> &jobs, const sched_knobs &knobs, unsigned threads)
+void runAll(std::vector<job> &jobs, const scheduler_parameters &knobs, unsigned threads)
 {
     std::atomic<std::size_t> next = 0;
     std::vector<std::jthread> workers;
@@ -221,20 +221,20 @@
     constexpr unsigned threads = 3;
     const std::string file = argc > 1 ? argv[1] : "-";
     const std::string only = argc > 2 ? argv[2] : "";
-    sched_knobs knobs;
-    const std::map<std::string, double sched_knobs::*> names
-        = {{"prefillWeight", &sched_knobs::prefillWeight},
-           {"spread", &sched_knobs::spread},
-           {"orderPerService", &sched_knobs::orderPerService},
-           {"fullPressure", &sched_knobs::fullPressure},
-           {"sharePressure", &sched_knobs::sharePressure},
-           {"notableExcess", &sched_knobs::notableExcess}};
+    scheduler_parameters knobs;
+    const std::map<std::string, double scheduler_parameters::*> names
+        = {{"prefillWeight", &scheduler_parameters::prefillWeight},
+           {"spread", &scheduler_parameters::spread},
+           {"orderPerService", &scheduler_parameters::delayPerServiceSecond},
+           {"fullPressure", &scheduler_parameters::maxCallsPerSlot},
+           {"sharePressure", &scheduler_parameters::fairShareCallsPerSlot},
+           {"notableExcess", &scheduler_parameters::shareExcessTolerance}};
     for (int i = 3; i < argc; ++i) {
         const std::string text = argv[i];
         const auto equals = text.find('=');
         const std::string name = text.substr(0, equals);
         if (name == "callsAhead")
-            knobs.callsAhead = std::stoi(text.substr(equals + 1));
+            knobs.maxEngineQueue = std::stoi(text.substr(equals + 1));
         else
             knobs.*names.at(name) = std::stod(text.substr(equals + 1));
     }
--- a/bench/policy_run.h
+++ b/bench/policy_run.h
@@ -99,7 +99,8 @@
 class policy_run
 {
 public:
-    policy_run(const run_case &c, policy_name policy, const sched_knobs &knobs, std::uint64_t seed);
+    policy_run(const run_case &c, policy_name policy, const scheduler_parameters &knobs,
+               std::uint64_t seed);
     run_result run();
 
 private:
--- a/bench/policy_run_impl.h
+++ b/bench/policy_run_impl.h
@@ -35,8 +35,8 @@
     return all;
 }
 
-inline policy_run::policy_run(const run_case &c, policy_name policy, const sched_knobs &knobs,
-                              std::uint64_t seed)
+inline policy_run::policy_run(const run_case &c, policy_name policy,
+                              const scheduler_parameters &knobs, std::uint64_t seed)
     : m_case(c), m_programs(drawPrograms(c, seed)), m_engines(replicaCount),
       m_alive(replicaCount, true), m_random(seed + 77)
 {
--- a/src/daemon/control.h
+++ b/src/daemon/control.h
@@ -253,7 +253,7 @@
     ownership_history m_history;
     heartbeats m_heartbeats;
     commit_batcher m_batcher;
-    program_book m_book;
+    program_registry m_book;
     scheduler m_scheduler;
     program_reaper m_reaper;
     release_planner m_releases;
--- a/src/daemon/control_calls.cpp
+++ b/src/daemon/control_calls.cpp
@@ -137,7 +137,7 @@
     if (!mayBegin(created.program))
         co_return tl::unexpected(movesNow());
     created.parent = request.parent;
-    if (const auto may = m_book.mayCreate(created, unixMilliseconds()); !may)
+    if (const auto may = m_book.checkCreation(created, unixMilliseconds()); !may)
         co_return tl::unexpected(may.error());
     created.tenant = request.tenant;
     created.programClass = request.programClass;
--- a/src/daemon/control_commits.cpp
+++ b/src/daemon/control_commits.cpp
@@ -48,7 +48,7 @@
 void control::dropFamily(const program_id &id)
 {
     ++m_drops;
-    m_book.forgetFamily(id);
+    m_book.eraseFamily(id);
     const program_id root = rootOf(id);
     std::erase_if(m_streams, [&](const auto &entry) { return rootOf(entry.first) == root; });
     if (owns(id))
--- a/src/daemon/control_release.cpp
+++ b/src/daemon/control_release.cpp
@@ -75,7 +75,7 @@
         engines[r.id] = *address;
         listed.insert(r.id);
     }
-    m_releases.onEngines(listed, runtime_clock::now());
+    m_releases.onListedEngines(listed, runtime_clock::now());
     for (const release_order &order : m_releases.gone(m_book, runtime_clock::now()))
         confirmRelease(order);
     const auto orders = m_releases.poll(m_book, runtime_clock::now());
--- a/src/daemon/control_scheduling.cpp
+++ b/src/daemon/control_scheduling.cpp
@@ -7,11 +7,11 @@
 constexpr duration schedulerPeriod = milliseconds(100);
 constexpr std::int64_t bytesPerToken = 4;
 
-sched_knobs knobsOf(const preset &p)
+scheduler_parameters knobsOf(const preset &p)
 {
-    sched_knobs knobs;
+    scheduler_parameters knobs;
     knobs.tokensInFlightPerReplica = p.tokensInFlightPerReplica;
-    knobs.retryShare = p.retryPercent / 100.0;
+    knobs.retryRatio = p.retryPercent / 100.0;
     return knobs;
 }
 
@@ -39,7 +39,7 @@
     while (true) {
         const time_point now = runtime_clock::now();
         if (m_config)
-            m_scheduler.setKnobs(knobsOf(m_config->active()));
+            m_scheduler.setParameters(knobsOf(m_config->active()));
         // Programs that moved away or lapsed must not count as their tenant's any longer.
         const auto isUnderWay = [this](const program_id &id) {
             const program *p = m_book.find(id);
--- a/src/entry/client_request.h
+++ b/src/entry/client_request.h
@@ -3,7 +3,7 @@
 #include "accounts/accounts.h"
 #include "core/core.h"
 #include "http/http_message.h"
-#include "replicas/replica_board.h"
+#include "replicas/replica_load_balancer.h"
 #include "turns/turn.h"
 
 #include <optional>
--- a/src/entry/engine_admission.cpp
+++ b/src/entry/engine_admission.cpp
@@ -19,9 +19,9 @@
     return std::chrono::duration_cast<duration>(admissionWaitShare * left);
 }
 
-gate_ticket admissionTicketOf(const entry_call &call, const program_times &times)
+admission_request admissionTicketOf(const entry_call &call, const program_timing &times)
 {
-    gate_ticket ticket;
+    admission_request ticket;
     ticket.rank = call.rank.order;
     ticket.continues = call.isLaterTurn;
     ticket.slack = call.request.programTimeLeft.value_or(duration::max());
@@ -31,12 +31,12 @@
     // An answer within twice the program's time still has some value.
     const bool isInfeasible
         = times.left && times.aim && *times.left + *times.aim < duration::zero();
-    ticket.hope = isInfeasible ? program_hope::Lost : program_hope::Late;
+    ticket.hope = isInfeasible ? deadline_feasibility::Lost : deadline_feasibility::Late;
     return ticket;
 }
 
-void logAdmission(const entry_call &call, const gate_ticket &ticket, const service_gate &gate,
-                  bool granted, duration waited)
+void logAdmission(const entry_call &call, const admission_request &ticket,
+                  const concurrency_limiter &gate, bool granted, duration waited)
 {
     logDecision(granted ? log_event::PlaceGranted : log_event::PlaceNotGranted,
                 {{"request", call.request.id},
@@ -56,14 +56,14 @@
 
 /// \returns what each report of \p reports says of \p service, and an empty entry for those that
 /// say nothing.
-std::vector<place_word> reportsOf(const std::vector<place_words> &reports,
-                                  const std::string &service)
+std::vector<concurrency_report> reportsOf(const std::vector<concurrency_reports> &reports,
+                                          const std::string &service)
 {
-    std::vector<place_word> serviceReports;
+    std::vector<concurrency_report> serviceReports;
     serviceReports.reserve(reports.size());
-    for (const place_words &report : reports) {
+    for (const concurrency_reports &report : reports) {
         const auto found = report.find(service);
-        serviceReports.push_back(found == report.end() ? place_word() : found->second);
+        serviceReports.push_back(found == report.end() ? concurrency_report() : found->second);
     }
     return serviceReports;
 }
@@ -81,19 +81,19 @@
         m_gates.try_emplace(service, m_mechanisms);
 }
 
-void engine_admission::update(const replica_board &board, time_point now)
+void engine_admission::update(const replica_load_balancer &board, time_point now)
 {
     for (auto &[name, gate] : m_gates) {
-        gate.setEngines({board.open(name, now), board.openSlots(name, now)});
+        gate.setEngineCapacity({board.open(name, now), board.availableSlots(name, now)});
         grant(gate);
     }
 }
 
-place_words engine_admission::makeReports()
+concurrency_reports engine_admission::makeReports()
 {
-    place_words reports;
+    concurrency_reports reports;
     for (auto &[name, gate] : m_gates) {
-        const place_word report = gate.tell();
+        const concurrency_report report = gate.tell();
         // Services without demand at this daemon are left out to keep the message small.
         if (report.wanted > 0)
             reports.emplace(name, report);
@@ -101,16 +101,16 @@
     return reports;
 }
 
-void engine_admission::mergeReports(const std::vector<place_words> &reports,
+void engine_admission::mergeReports(const std::vector<concurrency_reports> &reports,
                                     std::size_t otherDaemons)
 {
     for (auto &[name, gate] : m_gates) {
-        const std::vector<place_word> serviceReports = reportsOf(reports, name);
+        const std::vector<concurrency_report> serviceReports = reportsOf(reports, name);
         gate.hear({serviceReports, otherDaemons});
     }
 }
 
-void engine_admission::grant(service_gate &gate)
+void engine_admission::grant(concurrency_limiter &gate)
 {
     for (const std::uint64_t number : gate.take()) {
         const auto found = m_waiting.find(number);
@@ -121,13 +121,13 @@
     }
 }
 
-awaitable<bool> engine_admission::admit(entry_call_ptr call, program_times times)
+awaitable<bool> engine_admission::admit(entry_call_ptr call, program_timing times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
         co_return true;
-    service_gate &gate = found->second;
-    gate_ticket ticket = admissionTicketOf(*call, times);
+    concurrency_limiter &gate = found->second;
+    admission_request ticket = admissionTicketOf(*call, times);
     ticket.number = ++m_lastTicket;
     if (gate.enter(ticket)) {
         call->holdsEngineSlot = true;
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -118,12 +118,12 @@
     m_settings.seeds = settings.seeds;
 }
 
-void entry_control::setAdmissionReport(place_words report)
+void entry_control::setAdmissionReport(concurrency_reports report)
 {
-    m_membership.setWords(std::move(report));
+    m_membership.setDemandReports(std::move(report));
 }
 
-void entry_control::setReplicaReport(replica_words report)
+void entry_control::setReplicaReport(replica_reports report)
 {
     m_membership.setReplicaWords(std::move(report));
 }
@@ -300,7 +300,7 @@
         m_unreadable.tell(log_event::RowUnreadable, row,
                           "the row does not hold the state of the member that it is named after");
     else
-        m_membership.onListed(states->front(), runtime_clock::now());
+        m_membership.onStoredMember(states->front(), runtime_clock::now());
 }
 
 awaitable<bool> entry_control::readMembers()
@@ -373,7 +373,7 @@
 {
     updateReplicaDigest();
     send(m_membership.onMessage(message, from, runtime_clock::now()));
-    for (const digest_news &news : m_membership.takeDigests())
+    for (const peer_digest &news : m_membership.takeDigests())
         m_replicas.onDigest(news);
     logMembers();
 }
@@ -437,8 +437,8 @@
 
 void entry_control::forwardPeerReports() const
 {
-    m_events.onAdmissionReports(m_membership.wordsHeard());
-    std::vector<replica_words> reports = m_membership.replicaWordsHeard();
+    m_events.onAdmissionReports(m_membership.demandReportsHeard());
+    std::vector<replica_reports> reports = m_membership.replicaReportsHeard();
     if (!reports.empty() && m_events.onReplicaReports)
         m_events.onReplicaReports(std::move(reports));
 }
@@ -456,7 +456,7 @@
         // are the peer addresses of other hosts; all hosts use the same ports.
         if (m_membership.members().known() == 0) {
             for (const endpoint &seed : m_settings.seeds) {
-                const probe_message message = m_membership.introduction();
+                const probe_message message = m_membership.joinMessage();
                 m_gossip.send({seed.host, m_settings.gossip.port}, encodeProbe(message));
             }
         }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -8,7 +8,7 @@
 #include "platform/platform_store.h"
 #include "replicas/replicas.h"
 #include "routes/routes.h"
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 
 #include <functional>
 #include <memory>
@@ -28,9 +28,9 @@
     /// Member state of this daemon and those of the other live members.
     std::function<void(member_state, std::vector<member_state>)> onMembers;
     /// Recent admission reports of some of the other live daemons.
-    std::function<void(std::vector<place_words>)> onAdmissionReports;
+    std::function<void(std::vector<concurrency_reports>)> onAdmissionReports;
     /// Recent replica reports of some of the other daemons; called only if there are any.
-    std::function<void(std::vector<replica_words>)> onReplicaReports;
+    std::function<void(std::vector<replica_reports>)> onReplicaReports;
 };
 
 /// \brief Ports on which the control thread listens.
@@ -57,9 +57,9 @@
     /// \brief Removes the daemon's row from the store; gives up at \p deadline.
     awaitable<void> unregister(time_point deadline);
     /// \brief Sets the admission report that is sent to the other daemons.
-    void setAdmissionReport(place_words report);
+    void setAdmissionReport(concurrency_reports report);
     /// \brief Sets the replica report that is sent to the other daemons.
-    void setReplicaReport(replica_words report);
+    void setReplicaReport(replica_reports report);
     /// \brief Applies the bounds and times of new settings. Addresses stay as they are.
     void setSettings(const host_settings &settings);
     /// \returns the current state of the daemon for the metrics.
@@ -109,7 +109,7 @@
     gossip_socket m_gossip;
     routing_config_ptr m_routes;
     replica_discovery m_replicas;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     std::vector<endpoint> m_peersReachingStore;
     int m_aliveCount = 0;
     std::vector<member_state> m_lastPublishedMembers;
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -84,7 +84,7 @@
                             && m_settings.mechanisms.has(mechanism::MergedWrites));
     spawn(m_executor, "watchOutages", m_store.watchOutages());
     spawn(m_executor, "sweep", sweep());
-    spawn(m_executor, "removeOldRows", removeOldRows());
+    spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
     return canLend ? m_server.listen(m_settings.clients) : std::uint16_t(0);
 }
@@ -127,11 +127,11 @@
     m_credits.setMembers(std::move(self), std::move(others));
 }
 
-awaitable<void> entry_service::removeOldRows()
+awaitable<void> entry_service::removeExpiredRows()
 {
     while (true) {
         co_await sleepFor(removalInterval);
-        co_await m_ledger.removeOldRows();
+        co_await m_ledger.removeExpiredRows();
     }
 }
 
@@ -148,12 +148,12 @@
     }
 }
 
-void entry_service::mergeAdmissionReports(const std::vector<place_words> &reports)
+void entry_service::mergeAdmissionReports(const std::vector<concurrency_reports> &reports)
 {
     m_engineAdmission.mergeReports(reports, static_cast<std::size_t>(m_daemons - 1));
 }
 
-void entry_service::mergeReplicaReports(const std::vector<replica_words> &reports)
+void entry_service::mergeReplicaReports(const std::vector<replica_reports> &reports)
 {
     m_board.hear(reports, runtime_clock::now());
 }
@@ -320,13 +320,14 @@
         const bool isComplete = co_await m_relay.readBody(call, *reply, answer);
         if (!isComplete) {
             m_sender.finish(*call, *reply,
-                            call->clientDisconnected() ? send_end::Cancelled : send_end::Broken);
+                            call->clientDisconnected() ? send_outcome::Cancelled
+                                                       : send_outcome::Broken);
             ++call->sends;
             if (call->abortReason == abort_reason::AttemptTimeout)
                 call->abortReason = abort_reason::None;
             if (mayRetry(*call))
                 continue;
-            const send_failure broken{send_end::Broken, "the answer broke off"};
+            const send_failure broken{send_outcome::Broken, "the answer broke off"};
             co_await m_localReplies.replyWithFailure(call, broken, writer);
             co_return;
         }
@@ -334,7 +335,7 @@
             co_await m_relay.relayRemainder(call, *reply, std::move(answer), writer);
             co_return;
         }
-        m_sender.finish(*call, *reply, send_end::Answered);
+        m_sender.finish(*call, *reply, send_outcome::Answered);
         http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
--- a/src/entry/entry_service.h
+++ b/src/entry/entry_service.h
@@ -35,16 +35,16 @@
     /// \brief Sets the member state of this daemon and those of the other live members.
     void setMembers(member_state self, std::vector<member_state> others);
     /// \brief Merges recent admission reports of some of the other daemons.
-    void mergeAdmissionReports(const std::vector<place_words> &reports);
+    void mergeAdmissionReports(const std::vector<concurrency_reports> &reports);
     /// \brief Merges recent replica reports of some of the other daemons.
-    void mergeReplicaReports(const std::vector<replica_words> &reports);
+    void mergeReplicaReports(const std::vector<replica_reports> &reports);
     /// \brief Sets the callback that periodically gets this daemon's replica report.
-    void onReplicaReports(std::function<void(replica_words)> publish)
+    void onReplicaReports(std::function<void(replica_reports)> publish)
     {
         m_publishReplicaReport = std::move(publish);
     }
     /// \brief Sets the callback that periodically gets this daemon's admission report.
-    void onAdmissionReports(std::function<void(place_words)> publish)
+    void onAdmissionReports(std::function<void(concurrency_reports)> publish)
     {
         m_publishAdmissionReport = std::move(publish);
     }
@@ -69,7 +69,7 @@
     awaitable<void> servePlain(entry_call_ptr call, const http_request &request,
                                response_writer &writer);
     awaitable<void> sweep();
-    awaitable<void> removeOldRows();
+    awaitable<void> removeExpiredRows();
     void publishReports(time_point now);
 
     static bool mayRetry(const entry_call &call);
@@ -85,7 +85,7 @@
     paced_store m_pacedStore;
     turn_ledger m_ledger;
     credit_exchange m_credits;
-    replica_board m_board;
+    replica_load_balancer m_board;
     upstream_sender m_sender;
     engine_admission m_engineAdmission;
     local_reply_writer m_localReplies;
@@ -94,8 +94,8 @@
     http_server m_server;
     routing_config_ptr m_routes;
     int m_daemons = 1;
-    std::function<void(place_words)> m_publishAdmissionReport;
-    std::function<void(replica_words)> m_publishReplicaReport;
+    std::function<void(concurrency_reports)> m_publishAdmissionReport;
+    std::function<void(replica_reports)> m_publishReplicaReport;
     time_point m_reportsPublishedAt;
 };
 
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -184,20 +184,20 @@
             service.setMembers(s, o);
         });
     };
-    events.onAdmissionReports = [&](std::vector<place_words> reports) {
+    events.onAdmissionReports = [&](std::vector<concurrency_reports> reports) {
         asio::post(trafficContext,
                    [&service, o = std::move(reports)] { service.mergeAdmissionReports(o); });
     };
-    events.onReplicaReports = [&](std::vector<replica_words> reports) {
+    events.onReplicaReports = [&](std::vector<replica_reports> reports) {
         asio::post(trafficContext,
                    [&service, o = std::move(reports)] { service.mergeReplicaReports(o); });
     };
     entry_control control(controlContext, s, std::move(events));
-    service.onAdmissionReports([&](place_words report) {
+    service.onAdmissionReports([&](concurrency_reports report) {
         asio::post(controlContext,
                    [&control, w = std::move(report)] { control.setAdmissionReport(w); });
     });
-    service.onReplicaReports([&](replica_words report) {
+    service.onReplicaReports([&](replica_reports report) {
         asio::post(controlContext,
                    [&control, w = std::move(report)] { control.setReplicaReport(w); });
     });
--- a/src/entry/replica_discovery.cpp
+++ b/src/entry/replica_discovery.cpp
@@ -83,8 +83,8 @@
     // All daemons may have started at once. The number of readers doubles with each poll, and
     // daemons that learn of another's copy fetch that one.
     const int polls = m_pollsWithoutCopy++;
-    const read_turns schedule{m_readSchedule.bound,
-                              m_readSchedule.daemons >> std::min(polls, maxPollsWithoutCopy)};
+    const poll_schedule schedule{m_readSchedule.bound,
+                                 m_readSchedule.daemons >> std::min(polls, maxPollsWithoutCopy)};
     return polls >= maxPollsWithoutCopy || isReadDue(schedule, duration::zero(), draw);
 }
 
@@ -166,17 +166,17 @@
     }
 }
 
-void replica_discovery::onDigest(const digest_news &announcement)
+void replica_discovery::onDigest(const peer_digest &announcement)
 {
     const bool isBehind
-        = m_table.onDigest(announcement.digest, announcement.askedAt) == digest_verdict::Behind;
+        = m_table.onDigest(announcement.digest, announcement.askedAt) == digest_comparison::Behind;
     if (!isBehind || m_isFetchingChanges)
         return;
     m_isFetchingChanges = true;
     spawn(m_executor, "takeReplicaChanges", fetchChanges(announcement));
 }
 
-awaitable<void> replica_discovery::fetchChanges(digest_news announcement)
+awaitable<void> replica_discovery::fetchChanges(peer_digest announcement)
 {
     const time_point began = runtime_clock::now();
     const bool isFullTable = m_table.version() == 0;
@@ -278,14 +278,14 @@
     if (!known) {
         logDecision(
             log_event::ReplicaListed,
-            {{"replica", who.id.value}, {"born", who.bornUnixMs}, {"service", entry.service}});
+            {{"replica", who.id.value}, {"born", who.startedUnixMs}, {"service", entry.service}});
         return;
     }
     if (known->incarnation != who) {
         logDecision(log_event::ReplicaRestarted,
                     {{"replica", who.id.value},
-                     {"born", who.bornUnixMs},
-                     {"born_before", known->incarnation.bornUnixMs},
+                     {"born", who.startedUnixMs},
+                     {"born_before", known->incarnation.startedUnixMs},
                      {"was_draining", known->draining}});
     }
     const bool wasDraining = known->incarnation == who && known->draining;
--- a/src/entry/replica_discovery.h
+++ b/src/entry/replica_discovery.h
@@ -43,7 +43,7 @@
 
     /// \brief Handles the digest of another daemon's copy. A newer copy is fetched in the
     /// background.
-    void onDigest(const digest_news &announcement);
+    void onDigest(const peer_digest &announcement);
     /// \returns the digest to send to other daemons, or nothing before the first rows were read.
     std::optional<table_digest> digest() const { return m_table.digest(runtime_clock::now()); }
     /// \returns whether \p request asks for changes of the entries.
@@ -66,7 +66,7 @@
     awaitable<bool> readChanges();
     /// \brief Reads a row that doesn't exist, to find out whether the store answers this daemon.
     awaitable<void> probeStore();
-    awaitable<void> fetchChanges(digest_news announcement);
+    awaitable<void> fetchChanges(peer_digest announcement);
     void applyChanges(std::string_view source);
     /// \brief Applies the current row of \p key. \returns whether its entry changed.
     bool applyRow(const std::string &key);
@@ -80,10 +80,10 @@
     replicas_callback m_onReplicas;
     connection_pool m_pool;
     std::minstd_rand m_random;
-    read_turns m_readSchedule;
+    poll_schedule m_readSchedule;
     table_cache m_table;
     std::map<upstream_id, replica_entry> m_replicas;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     /// Number of log lines on single replicas of the current update.
     std::size_t m_loggedReplicas = 0;
     bool m_hasReplicas = false;
--- a/src/entry/response_relay.cpp
+++ b/src/entry/response_relay.cpp
@@ -27,17 +27,18 @@
 }
 
 /// \returns the outcome of a send whose answer was not relayed completely.
-send_end incompleteSendEnd(const entry_call &call, bool isClientConnected)
+send_outcome incompleteSendEnd(const entry_call &call, bool isClientConnected)
 {
     if (call.clientDisconnected() || !isClientConnected
         || call.abortReason == abort_reason::DeadlineExceeded)
-        return send_end::Cancelled;
-    return call.abortReason == abort_reason::ReplicaSilent ? send_end::Silent : send_end::Broken;
+        return send_outcome::Cancelled;
+    return call.abortReason == abort_reason::ReplicaSilent ? send_outcome::Silent
+                                                           : send_outcome::Broken;
 }
 
 } // namespace
 
-response_relay::response_relay(upstream_sender &sender, replica_board &board,
+response_relay::response_relay(upstream_sender &sender, replica_load_balancer &board,
                                engine_admission &admission, local_reply_writer &localReplies,
                                entry_metrics &metrics)
     : m_sender(sender), m_board(board), m_engineAdmission(admission), m_localReplies(localReplies),
@@ -79,7 +80,7 @@
     if (isClientConnected && isComplete)
         isClientConnected = co_await writer.end();
     m_sender.finish(*call, reply,
-                    isClientConnected && isComplete ? send_end::Answered
+                    isClientConnected && isComplete ? send_outcome::Answered
                                                     : incompleteSendEnd(*call, isClientConnected));
 }
 
@@ -88,9 +89,9 @@
 {
     std::string body;
     const bool isComplete = co_await readBody(call, reply, body);
-    m_sender.finish(*call, reply, isComplete ? send_end::Answered : send_end::Broken);
+    m_sender.finish(*call, reply, isComplete ? send_outcome::Answered : send_outcome::Broken);
     if (!isComplete) {
-        const send_failure broken{send_end::Broken, "the answer broke off"};
+        const send_failure broken{send_outcome::Broken, "the answer broke off"};
         co_await m_localReplies.replyWithFailure(call, broken, writer);
         co_return;
     }
@@ -172,7 +173,7 @@
     if (firstAt)
         recordEventInterval(*call, stream.events - eventsBefore, *firstAt);
     m_sender.finish(*call, reply,
-                    stream.isComplete ? send_end::Answered
+                    stream.isComplete ? send_outcome::Answered
                                       : incompleteSendEnd(*call, stream.isClientConnected));
 }
 
--- a/src/entry/turn_handler.cpp
+++ b/src/entry/turn_handler.cpp
@@ -148,7 +148,7 @@
             break;
         reply = std::move(*next);
         if (reply.head.status != 200) {
-            m_sender.finish(*call, reply, send_end::Answered);
+            m_sender.finish(*call, reply, send_outcome::Answered);
             break;
         }
         co_await m_relay.relayContinuation(call, reply, stream, writer);
@@ -163,7 +163,7 @@
     const entry_call_ptr call = context->call;
     const std::int64_t used = stream.events * tokensPerEvent(*call);
     if (std::holds_alternative<client_history>(context->history)) {
-        if (!m_ledger.mayStayHeld(context->claim))
+        if (!m_ledger.mayKeepHold(context->claim))
             settle(*context, used);
         co_await writer.end();
         co_return;
@@ -254,7 +254,7 @@
 awaitable<bool> turn_handler::awaitAdmission(turn_context_ptr context, response_writer &writer)
 {
     const entry_call_ptr call = context->call;
-    const program_times times = m_ledger.timesOf(call->request.program);
+    const program_timing times = m_ledger.timingOf(call->request.program);
     const bool isAdmitted = co_await m_engineAdmission.admit(call, times);
     if (isAdmitted) {
         m_metrics.onPhase(call->route->name, request_phase::Store,
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -33,29 +33,29 @@
 /// Lowest HTTP status that means that the replica failed.
 constexpr int minFailureStatus = 500;
 
-duration attemptTimeout(const entry_call &call, const replica_board &board, time_point now)
+duration attemptTimeout(const entry_call &call, const replica_load_balancer &board, time_point now)
 {
-    const duration evenShare = (call.deadline - now) / attemptsPerDeadline;
-    const auto typical = board.typicalWait(call.service);
+    const duration minEvenFraction = (call.deadline - now) / attemptsPerDeadline;
+    const auto typical = board.typicalFirstByteTime(call.service);
     const duration preferred
-        = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : evenShare;
-    return std::min(preferred, std::max<duration>(evenShare, minAttemptTimeout));
+        = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : minEvenFraction;
+    return std::min(preferred, std::max<duration>(minEvenFraction, minAttemptTimeout));
 }
 
-send_end failedSendEnd(const entry_call &call, const http_error &error)
+send_outcome failedSendEnd(const entry_call &call, const http_error &error)
 {
     switch (call.abortReason) {
     case abort_reason::ClientDisconnected:
     case abort_reason::DeadlineExceeded:
-        return send_end::Cancelled;
+        return send_outcome::Cancelled;
     case abort_reason::ReplicaSilent:
-        return send_end::Silent;
+        return send_outcome::Silent;
     case abort_reason::AttemptTimeout:
-        return send_end::Broken;
+        return send_outcome::Broken;
     case abort_reason::None:
         break;
     }
-    return error.kind == http_error_kind::TimedOut ? send_end::Cancelled : send_end::Broken;
+    return error.kind == http_error_kind::TimedOut ? send_outcome::Cancelled : send_outcome::Broken;
 }
 
 } // namespace
@@ -72,8 +72,8 @@
     return result;
 }
 
-upstream_sender::upstream_sender(const asio::any_io_executor &executor, replica_board &board,
-                                 entry_metrics &metrics)
+upstream_sender::upstream_sender(const asio::any_io_executor &executor,
+                                 replica_load_balancer &board, entry_metrics &metrics)
     : m_executor(executor), m_board(board), m_metrics(metrics),
       m_pool(executor, maxIdle, maxIdlePerReplica)
 { }
@@ -83,7 +83,7 @@
     if (call.route->kind != route_kind::Stream)
         return false;
     const time_point lastActivity = std::max(
-        {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastHeard(call.replica)});
+        {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastReceivedAt(call.replica)});
     return now - lastActivity > std::max<duration>(silenceTimeout, 2 * call.route->maxEventGap);
 }
 
@@ -173,13 +173,15 @@
         const auto connected = co_await connection->connect(address, until);
         if (!connected) {
             finish(*call, reply,
-                   call->clientDisconnected() ? send_end::Cancelled : send_end::Unreachable);
-            co_return tl::unexpected(send_failure{send_end::Unreachable, connected.error().detail});
+                   call->clientDisconnected() ? send_outcome::Cancelled
+                                              : send_outcome::Unreachable);
+            co_return tl::unexpected(
+                send_failure{send_outcome::Unreachable, connected.error().detail});
         }
     }
     if (call->clientDisconnected()) {
-        finish(*call, reply, send_end::Cancelled);
-        co_return tl::unexpected(send_failure{send_end::Cancelled, "the client left"});
+        finish(*call, reply, send_outcome::Cancelled);
+        co_return tl::unexpected(send_failure{send_outcome::Cancelled, "the client left"});
     }
     const time_point now = runtime_clock::now();
     if (call->route->kind == route_kind::Idempotent)
@@ -208,8 +210,8 @@
     if (!head) {
         // A request certainly did not run only if none of its bytes was sent.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
-        const send_end end = didNotRun && !call->clientDisconnected()
-            ? send_end::NotRun
+        const send_outcome end = didNotRun && !call->clientDisconnected()
+            ? send_outcome::NotRun
             : failedSendEnd(*call, head.error());
         if (!didNotRun)
             call->mayHaveRun = true;
@@ -230,8 +232,8 @@
     if (kind == reply_kind::Foreign) {
         call->mayHaveRun = true;
         connection->close();
-        finish(*call, reply, send_end::Broken);
-        co_return tl::unexpected(send_failure{send_end::Broken, "not the replica's answer"});
+        finish(*call, reply, send_outcome::Broken);
+        co_return tl::unexpected(send_failure{send_outcome::Broken, "not the replica's answer"});
     }
     if (kind == reply_kind::WrongReplica)
         m_board.setLeaving(where.replica.incarnation);
@@ -241,15 +243,15 @@
         if (!chunk || chunk->empty())
             break;
     }
-    finish(*call, reply, send_end::NotRun);
-    co_return tl::unexpected(send_failure{send_end::NotRun, std::string(toName(kind))});
+    finish(*call, reply, send_outcome::NotRun);
+    co_return tl::unexpected(send_failure{send_outcome::NotRun, std::string(toName(kind))});
 }
 
-void upstream_sender::finish(entry_call &call, open_reply &reply, send_end end)
+void upstream_sender::finish(entry_call &call, open_reply &reply, send_outcome end)
 {
     const time_point now = runtime_clock::now();
-    if (end == send_end::Answered && reply.head.status >= minFailureStatus)
-        end = send_end::Failed;
+    if (end == send_outcome::Answered && reply.head.status >= minFailureStatus)
+        end = send_outcome::Failed;
     m_board.onDone(reply.where, end, now);
     call.connection = nullptr;
     call.attemptDeadline.reset();
@@ -257,37 +259,37 @@
     // Connections to a process that has ended are dead, and the next request on one of them would
     // fail.
     const bool isReplaced = m_board.isReplaced(reply.where.replica.incarnation);
-    const bool isAnswerRead
-        = end == send_end::Answered || end == send_end::Failed || end == send_end::NotRun;
+    const bool isAnswerRead = end == send_outcome::Answered || end == send_outcome::Failed
+        || end == send_outcome::NotRun;
     const bool keep = !isReplaced && isAnswerRead;
     if (keep)
         m_pool.give(reply.where.replica.address, std::move(*reply.connection), now);
     else
         reply.connection->close();
-    if (end == send_end::Unreachable || end == send_end::Silent)
+    if (end == send_outcome::Unreachable || end == send_outcome::Silent)
         m_pool.drop(reply.where.replica.address);
     m_metrics.onSend(toName(end));
-    logDecision(
-        log_event::SendEnded,
-        {{"request", call.request.id},
-         {"replica", reply.where.replica.incarnation.id.value},
-         {"end", std::string(toName(end))},
-         {"status",
-          std::int64_t(end == send_end::Answered || end == send_end::Failed ? reply.head.status
-                                                                            : 0)},
-         {"cut", std::string(toName(call.abortReason))},
-         {"ms", toMilliseconds(now - call.sentAt)}});
+    logDecision(log_event::SendEnded,
+                {{"request", call.request.id},
+                 {"replica", reply.where.replica.incarnation.id.value},
+                 {"end", std::string(toName(end))},
+                 {"status",
+                  std::int64_t(end == send_outcome::Answered || end == send_outcome::Failed
+                                   ? reply.head.status
+                                   : 0)},
+                 {"cut", std::string(toName(call.abortReason))},
+                 {"ms", toMilliseconds(now - call.sentAt)}});
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
 upstream_sender::open(entry_call_ptr call, placement_request &placementRequest,
                       const http_request &original, std::string body)
 {
-    send_failure last{send_end::Unreachable, "no replica may take requests"};
+    send_failure last{send_outcome::Unreachable, "no replica may take requests"};
     int refusals = 0;
     while (runtime_clock::now() < call->deadline && !call->clientDisconnected()) {
         if (!isStillAllowed(*call)) {
-            last = {send_end::NotRun, "the key or the route was taken away"};
+            last = {send_outcome::NotRun, "the key or the route was taken away"};
             break;
         }
         if (call->sends >= call->route->maxAttempts || refusals > maxRefusals)
@@ -301,7 +303,7 @@
         if (reply)
             co_return reply;
         last = reply.error();
-        if (last.end == send_end::NotRun || last.end == send_end::Unreachable) {
+        if (last.end == send_outcome::NotRun || last.end == send_outcome::Unreachable) {
             ++refusals;
             continue;
         }
@@ -329,7 +331,7 @@
         auto again = co_await sendOnce(call, broken, placementRequest, original, std::move(copy));
         if (again)
             co_return again;
-        isUnlisted = again.error().end == send_end::Unreachable
+        isUnlisted = again.error().end == send_outcome::Unreachable
             || !m_board.isListed(broken.replica.incarnation);
         if (!isUnlisted)
             co_return again;
--- a/src/entry/upstream_sender.h
+++ b/src/entry/upstream_sender.h
@@ -20,7 +20,7 @@
 /// \brief Why no replica answered.
 struct send_failure
 {
-    send_end end = send_end::Unreachable;
+    send_outcome end = send_outcome::Unreachable;
     std::string detail;
 };
 
@@ -32,7 +32,7 @@
 class upstream_sender
 {
 public:
-    upstream_sender(const asio::any_io_executor &executor, replica_board &board,
+    upstream_sender(const asio::any_io_executor &executor, replica_load_balancer &board,
                     entry_metrics &metrics);
 
     /// \brief Sends \p call to replicas until one answers.
@@ -54,7 +54,7 @@
            const http_request &original, std::string body);
     /// \brief Records the outcome of the send of \p reply, and keeps its connection if it can be
     /// reused.
-    void finish(entry_call &call, open_reply &reply, send_end end);
+    void finish(entry_call &call, open_reply &reply, send_outcome end);
 
     /// \brief Sets the configuration in force, against which requests are checked again before they
     /// are sent.
@@ -84,7 +84,7 @@
     awaitable<void> probeByConnecting(replica_incarnation who, endpoint address);
 
     asio::any_io_executor m_executor;
-    replica_board &m_board;
+    replica_load_balancer &m_board;
     entry_metrics &m_metrics;
     connection_pool m_pool;
     routing_config_ptr m_routes;
--- a/src/lending/credit_exchange.cpp
+++ b/src/lending/credit_exchange.cpp
@@ -12,11 +12,11 @@
 
 /// An answer that has not come after this long was lost, or its sender writes a row, or has more
 /// to answer than it can: so the pause is doubled with each ask of a request.
-constexpr duration askPause = milliseconds(60);
+constexpr duration initialRetryInterval = milliseconds(60);
 /// Holders that a request is sent on to without a pause.
-constexpr int mostRedirects = 2;
+constexpr int maxRedirects = 2;
 /// Longest wait for a credit. Holders change within less.
-constexpr duration mostWait = seconds(1);
+constexpr duration maxBorrowTime = seconds(1);
 
 } // namespace
 
@@ -89,11 +89,11 @@
     const bool isNews = !message.holder.empty() && m_holders[shard] != message.holder;
     m_holders[shard] = message.holder;
     // Two daemons that name each other must not be asked in circles.
-    if (isNews && ++found->second->redirects <= mostRedirects)
+    if (isNews && ++found->second->redirects <= maxRedirects)
         found->second->alarm.cancel();
 }
 
-daemon_id credit_exchange::lenderOf(std::size_t shard) const
+daemon_id credit_exchange::presumedHolder(std::size_t shard) const
 {
     const auto known = m_holders.find(shard);
     const bool isKnown
@@ -103,7 +103,7 @@
 
 void credit_exchange::ask(const credit_request &request)
 {
-    const daemon_id lender = lenderOf(shardOf(request.account));
+    const daemon_id lender = presumedHolder(shardOf(request.account));
     if (lender.empty())
         return;
     if (lender == m_view.self().name) {
@@ -148,8 +148,8 @@
 awaitable<borrow_result> credit_exchange::borrow(account_id account, credit_use use,
                                                  time_point deadline)
 {
-    const time_point until = std::min(deadline, runtime_clock::now() + mostWait);
-    duration pause = askPause;
+    const time_point until = std::min(deadline, runtime_clock::now() + maxBorrowTime);
+    duration pause = initialRetryInterval;
     while (runtime_clock::now() < until) {
         account_id copy = account;
         auto result = co_await borrowOnce(std::move(copy), use, pause, until);
@@ -158,13 +158,13 @@
         // What was said of the holder led nowhere.
         m_holders.erase(shardOf(account));
     }
-    co_return lender_silent();
+    co_return lender_unreachable();
 }
 
 void credit_exchange::giveBack(const account_id &account, const credit_id &id)
 {
     const credit_return message{id, account};
-    const daemon_id lender = lenderOf(shardOf(account));
+    const daemon_id lender = presumedHolder(shardOf(account));
     const member_state *const member = m_view.find(lender);
     if (lender == m_view.self().name)
         m_lender.onReturn(message);
--- a/src/lending/credit_exchange.h
+++ b/src/lending/credit_exchange.h
@@ -16,11 +16,11 @@
 };
 
 /// \brief No daemon that may lend answered in time.
-struct lender_silent
+struct lender_unreachable
 { };
 
 /// \brief What became of a wish for a credit.
-using borrow_result = std::variant<credit_id, quota_used_up, lender_silent>;
+using borrow_result = std::variant<credit_id, quota_used_up, lender_unreachable>;
 
 /// \brief Borrows credits for requests that are served here, and lends those whose row this daemon
 /// holds. Used on the traffic thread.
@@ -65,7 +65,7 @@
     /// \brief Asks whoever should hold the account's row.
     void ask(const credit_request &request);
     /// \returns the daemon to ask for credits of \p shard.
-    daemon_id lenderOf(std::size_t shard) const;
+    daemon_id presumedHolder(std::size_t shard) const;
     /// \param pause until the request is asked again; grows with each ask.
     awaitable<std::optional<borrow_result>> borrowOnce(account_id account, credit_use use,
                                                        duration &pause, time_point deadline);
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -12,14 +12,14 @@
 
 /// Rows that are held are written anew this often: an outage of the store then finds the most of
 /// their validity left.
-constexpr duration renewPause = milliseconds(2500);
+constexpr duration renewInterval = milliseconds(2500);
 constexpr duration lookPause = milliseconds(250);
 /// Pause between two tries of one row, and of one that another daemon holds as far as is known.
-constexpr duration tryPause = milliseconds(40);
-constexpr duration lookAgainPause = milliseconds(500);
+constexpr duration retryInterval = milliseconds(40);
+constexpr duration foreignRowRetryInterval = milliseconds(500);
 /// A row is handed on to the daemon that should hold it after this long: members that come and go
 /// would otherwise move it about.
-constexpr duration handOnAfter = seconds(2);
+constexpr duration handOverDelay = seconds(2);
 constexpr duration writeTime = milliseconds(700);
 /// Answers that show another state of the row than expected, after which a write is left.
 constexpr int mostTries = 4;
@@ -41,7 +41,7 @@
     }
 }
 
-bool credit_lender::isUsed(std::size_t shard) const
+bool credit_lender::hasQuotas(std::size_t shard) const
 {
     return m_used.at(shard);
 }
@@ -72,7 +72,7 @@
     if (!state.book.mayLend(now)) {
         const daemon_id preferred = m_view.preferred(shard);
         if (preferred == m_view.self().name)
-            secure(shard);
+            acquireOrRenew(shard);
         const daemon_id holder = holderOf(state);
         if (!holder.empty() && holder != m_view.self().name)
             return not_holder{number, holder};
@@ -90,7 +90,7 @@
     case lend_verdict::LevelTooLow:
         break;
     }
-    secure(shard);
+    acquireOrRenew(shard);
     return std::nullopt;
 }
 
@@ -108,30 +108,31 @@
         const time_point now = runtime_clock::now();
         const bool isReady = m_routes && !m_view.self().name.empty() && !m_isReleased;
         for (std::size_t shard = 0; isReady && shard < quotaShards; ++shard) {
-            if (isUsed(shard))
-                tend(shard, now);
+            if (hasQuotas(shard))
+                maintainShard(shard, now);
         }
     }
 }
 
-void credit_lender::tend(std::size_t shard, time_point now)
+void credit_lender::maintainShard(std::size_t shard, time_point now)
 {
     shard_state &state = stateOf(shard);
-    const bool isWanted = m_view.preferred(shard) == m_view.self().name;
+    const bool isPreferred = m_view.preferred(shard) == m_view.self().name;
     if (!state.book.isHeld()) {
-        if (isWanted)
-            secure(shard);
+        if (isPreferred)
+            acquireOrRenew(shard);
         return;
     }
-    if (isWanted)
-        state.unwantedSince.reset();
-    else if (!state.unwantedSince)
-        state.unwantedSince = now;
-    if (state.unwantedSince && now >= *state.unwantedSince + handOnAfter && !state.isWriting) {
+    if (isPreferred)
+        state.notPreferredSince.reset();
+    else if (!state.notPreferredSince)
+        state.notPreferredSince = now;
+    if (state.notPreferredSince && now >= *state.notPreferredSince + handOverDelay
+        && !state.isWriting) {
         state.isWriting = true;
-        spawn(m_executor, "handOnQuotaRow", handOn(shard, now + writeTime));
-    } else if (now >= state.writtenAt + renewPause) {
-        secure(shard);
+        spawn(m_executor, "handOnQuotaRow", handOver(shard, now + writeTime));
+    } else if (now >= state.writtenAt + renewInterval) {
+        acquireOrRenew(shard);
     }
 }
 
@@ -141,16 +142,16 @@
     return isHeld ? state.others->holder : daemon_id();
 }
 
-void credit_lender::secure(std::size_t shard)
+void credit_lender::acquireOrRenew(std::size_t shard)
 {
     shard_state &state = stateOf(shard);
     const time_point now = runtime_clock::now();
-    const duration pause = holderOf(state).empty() ? tryPause : lookAgainPause;
+    const duration pause = holderOf(state).empty() ? retryInterval : foreignRowRetryInterval;
     const bool isKnown = m_routes && !m_view.self().name.empty();
-    if (!isKnown || state.isWriting || now < state.triedAt + pause || m_isReleased)
+    if (!isKnown || state.isWriting || now < state.lastAttemptAt + pause || m_isReleased)
         return;
     state.isWriting = true;
-    state.triedAt = now;
+    state.lastAttemptAt = now;
     spawn(m_executor, "writeQuotaRow", write(shard));
 }
 
@@ -191,13 +192,13 @@
         return false;
     const stored_row *const found = findRow(error.current, quotaRowName(shard));
     if (found)
-        return onRow(shard, state, *found);
+        return onConflictingRow(shard, state, *found);
     state.version = 0;
     state.book.takeOver(std::nullopt, holder_state::Ended, runtime_clock::now());
     return true;
 }
 
-bool credit_lender::onRow(std::size_t shard, shard_state &state, const stored_row &found)
+bool credit_lender::onConflictingRow(std::size_t shard, shard_state &state, const stored_row &found)
 {
     const auto row = decodeQuotaRow(found.value);
     if (!row) {
@@ -213,9 +214,9 @@
         return true;
     }
     const holder_state fate = m_view.stateOf(*row);
-    const bool isLeft
+    const bool isAbandoned
         = fate == holder_state::Ended || (fate == holder_state::Silent && m_view.isSettled(now));
-    if (!isLeft) {
+    if (!isAbandoned) {
         if (state.book.isHeld())
             logDecision(log_event::QuotaLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
@@ -235,7 +236,7 @@
     return true;
 }
 
-awaitable<void> credit_lender::handOn(std::size_t shard, time_point until)
+awaitable<void> credit_lender::handOver(std::size_t shard, time_point until)
 {
     shard_state &state = stateOf(shard);
     const row_name name = quotaRowName(shard);
@@ -248,7 +249,7 @@
     const auto version = co_await m_store.transact(std::move(t), until);
     if (version)
         state.version = *version;
-    state.unwantedSince.reset();
+    state.notPreferredSince.reset();
     state.isWriting = false;
     logDecision(log_event::QuotaLost,
                 {{"shard", std::int64_t(shard)},
@@ -261,7 +262,7 @@
     m_isReleased = true;
     for (auto &[shard, state] : m_shards) {
         if (state.book.isHeld())
-            co_await handOn(shard, std::min(runtime_clock::now() + writeTime, latest));
+            co_await handOver(shard, std::min(runtime_clock::now() + writeTime, latest));
     }
 }
 
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -2,7 +2,7 @@
 
 #include "lending/lender_view.h"
 #include "routes/routes.h"
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 #include "store/store.h"
 
 #include <array>
@@ -41,28 +41,28 @@
         /// The row as another daemon left it, if this one has seen it so last.
         std::optional<quota_row> others;
         /// Since when another daemon should hold the row that this one holds.
-        std::optional<time_point> unwantedSince;
+        std::optional<time_point> notPreferredSince;
         bool isWriting = false;
         time_point writtenAt;
-        time_point triedAt;
+        time_point lastAttemptAt;
     };
 
     shard_state &stateOf(std::size_t shard);
     /// \returns whether the configuration limits an account of \p shard.
-    bool isUsed(std::size_t shard) const;
+    bool hasQuotas(std::size_t shard) const;
     /// \returns the daemon that holds the row of \p state as far as this one knows, or an empty id.
     daemon_id holderOf(const shard_state &state) const;
     /// \brief Takes, renews or hands on the row of \p shard if it is time.
-    void tend(std::size_t shard, time_point now);
+    void maintainShard(std::size_t shard, time_point now);
     /// \brief Gives the row of \p shard up for the daemon that should hold it.
-    awaitable<void> handOn(std::size_t shard, time_point until);
+    awaitable<void> handOver(std::size_t shard, time_point until);
     /// \brief Has the row of \p shard written, unless that is under way or was tried just now.
-    void secure(std::size_t shard);
+    void acquireOrRenew(std::size_t shard);
     awaitable<void> write(std::size_t shard);
     /// \brief Takes in \p error of a write. \returns whether to write again at once.
     bool onFailed(std::size_t shard, shard_state &state, const store_error &error);
     /// \brief Takes in the row as the store has it. \returns whether to write again at once.
-    bool onRow(std::size_t shard, shard_state &state, const stored_row &found);
+    bool onConflictingRow(std::size_t shard, shard_state &state, const stored_row &found);
 
     asio::any_io_executor m_executor;
     store &m_store;
@@ -72,7 +72,7 @@
     /// Shards with accounts that have a quota.
     std::array<bool, quotaShards> m_used{};
     std::map<std::size_t, shard_state> m_shards;
-    unreadable_rows m_unreadable;
+    unreadable_row_log m_unreadable;
     bool m_isReleased = false;
 };
 
--- a/src/members/answer_patience.cpp
+++ b/src/members/adaptive_timeout.cpp
@@ -1,4 +1,4 @@
-#include "members/answer_patience.h"
+#include "members/adaptive_timeout.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,18 +12,18 @@
 constexpr double mostMs = 700;
 /// Until answers have shown how long they take.
 constexpr double firstMs = 400;
-constexpr int enoughAnswers = 8;
+constexpr int minSamples = 8;
 /// Ten usual answers: the store and the hosts have pauses of some tens of milliseconds.
 constexpr double leastMs = 120;
 /// Weights of a new time, as for TCP's retransmission timeout (RFC 6298).
 constexpr double typicalWeight = 0.125;
 constexpr double deviationWeight = 0.25;
 constexpr double deviations = 4;
-constexpr int mostDoublings = 3;
+constexpr int maxDoublings = 3;
 
 } // namespace
 
-void answer_patience::onAnswer(duration time)
+void adaptive_timeout::onAnswer(duration time)
 {
     const double ms = std::chrono::duration<double, std::milli>(time).count();
     if (m_answers == 0)
@@ -31,20 +31,20 @@
     m_deviation += deviationWeight * (std::abs(ms - m_typical) - m_deviation);
     m_typical += typicalWeight * (ms - m_typical);
     ++m_answers;
-    m_timeouts = 0;
+    m_consecutiveTimeouts = 0;
 }
 
-void answer_patience::onTimeout()
+void adaptive_timeout::onTimeout()
 {
-    ++m_timeouts;
+    ++m_consecutiveTimeouts;
 }
 
-duration answer_patience::wait() const
+duration adaptive_timeout::wait() const
 {
     double ms = firstMs;
-    if (m_answers >= enoughAnswers)
+    if (m_answers >= minSamples)
         ms = std::max(leastMs, m_typical + deviations * m_deviation);
-    ms = std::min(mostMs, std::ldexp(ms, std::min(m_timeouts, mostDoublings)));
+    ms = std::min(mostMs, std::ldexp(ms, std::min(m_consecutiveTimeouts, maxDoublings)));
     return std::chrono::duration_cast<duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
--- a/src/members/answer_patience.h
+++ b/src/members/adaptive_timeout.h
@@ -9,7 +9,7 @@
 /// An answer that is lost never comes, so a short wait mends it soon; a store that has turned slow
 /// must not be asked twice for everything. The wait follows the times of answers that came, and
 /// doubles with each that did not.
-class answer_patience
+class adaptive_timeout
 {
 public:
     /// \brief An answer came after \p time.
@@ -24,7 +24,7 @@
     double m_typical = 0;
     double m_deviation = 0;
     int m_answers = 0;
-    int m_timeouts = 0;
+    int m_consecutiveTimeouts = 0;
 };
 
 } // namespace azurehill
--- a/src/members/word_sample.cpp
+++ b/src/members/gossip_reports.cpp
@@ -1,4 +1,4 @@
-#include "members/word_sample.h"
+#include "members/gossip_reports.h"
 
 namespace azurehill {
 
@@ -10,29 +10,29 @@
 
 } // namespace
 
-void word_sample::onHeard(const daemon_id &member, place_words words, replica_words replicas,
-                          time_point now)
+void gossip_reports::onHeard(const daemon_id &member, concurrency_reports words,
+                             replica_reports replicas, time_point now)
 {
     m_heard[member] = {std::move(words), std::move(replicas), now};
 }
 
-void word_sample::expire(time_point now)
+void gossip_reports::expire(time_point now)
 {
     std::erase_if(m_heard, [now](const auto &item) { return now - item.second.at > mostAge; });
 }
 
-std::vector<place_words> word_sample::heard() const
+std::vector<concurrency_reports> gossip_reports::heard() const
 {
-    std::vector<place_words> all;
+    std::vector<concurrency_reports> all;
     all.reserve(m_heard.size());
     for (const auto &[member, heard] : m_heard)
         all.push_back(heard.words);
     return all;
 }
 
-std::vector<replica_words> word_sample::heardOfReplicas() const
+std::vector<replica_reports> gossip_reports::replicaReports() const
 {
-    std::vector<replica_words> all;
+    std::vector<replica_reports> all;
     for (const auto &[member, heard] : m_heard) {
         if (!heard.replicas.empty())
             all.push_back(heard.replicas);
--- a/src/members/member_list.cpp
+++ b/src/members/member_list.cpp
@@ -9,7 +9,7 @@
 /// Members that are gone are remembered for as long as news of them may still pass, and as a cut
 /// between hosts may last. Hosts are replaced for good, two thousand a day in a large system:
 /// without an end the list would grow for as long as the process lives.
-constexpr duration rememberTime = std::chrono::minutes(10);
+constexpr duration tombstoneRetention = std::chrono::minutes(10);
 
 } // namespace
 
@@ -30,20 +30,20 @@
 {
     const auto [found, isNew] = m_members.try_emplace(news.state.name);
     entry &e = found->second;
-    const bool isFirst = e.isOnlyListed && compareAge(news.state, e.update.state) >= 0;
+    const bool isFirst = e.isOnlyInStore && compareAge(news.state, e.update.state) >= 0;
     if (!isNew && !isFirst && !overrides(news, e.update))
         return false;
     set(e, {news, false, deadAt});
     return true;
 }
 
-void member_list::onListed(const member_state &state, time_point now)
+void member_list::onStoredMember(const member_state &state, time_point now)
 {
     const auto [found, isNew] = m_members.try_emplace(state.name);
     entry &e = found->second;
-    if (isNew || (e.isOnlyListed && compareAge(state, e.update.state) > 0))
+    if (isNew || (e.isOnlyInStore && compareAge(state, e.update.state) > 0))
         e = {{state, member_health::Alive}, true, now};
-    else if (e.isOnlyListed)
+    else if (e.isOnlyInStore)
         e.deadAt = now;
 }
 
@@ -57,7 +57,7 @@
     said.incarnation = incarnation;
     said.version = version;
     const auto age = compareAge(said, e.update.state);
-    if (age == 0 && e.isOnlyListed)
+    if (age == 0 && e.isOnlyInStore)
         set(e, {e.update, false, {}});
     return age <= 0;
 }
@@ -74,7 +74,7 @@
         gone.push_back(name);
     }
     std::erase_if(m_members, [now](const auto &item) {
-        return !item.second.isAlive() && now > item.second.deadAt + rememberTime;
+        return !item.second.isAlive() && now > item.second.deadAt + tombstoneRetention;
     });
     return gone;
 }
--- a/src/members/member_list.h
+++ b/src/members/member_list.h
@@ -22,20 +22,20 @@
     {
         member_update update;
         /// Whether only the store names it: nobody has heard of it yet.
-        bool isOnlyListed = true;
+        bool isOnlyInStore = true;
         /// When a suspicion becomes a death, unless the member denies it; of others, when they were
         /// last heard or read of.
         time_point deadAt;
 
-        bool isAlive() const { return !isOnlyListed && update.health != member_health::Dead; }
-        bool isHealthy() const { return !isOnlyListed && update.health == member_health::Alive; }
+        bool isAlive() const { return !isOnlyInStore && update.health != member_health::Dead; }
+        bool isHealthy() const { return !isOnlyInStore && update.health == member_health::Alive; }
     };
 
     /// \brief Takes in \p news. \returns whether it says more than what was known.
     /// \param deadAt when the member is gone, if the news is a suspicion.
     bool apply(const member_update &news, time_point deadAt);
     /// \brief Takes in a member that the store names; it counts as alive once it is heard of.
-    void onListed(const member_state &state, time_point now);
+    void onStoredMember(const member_state &state, time_point now);
     /// \brief The member itself said its \p incarnation and \p version.
     /// \returns whether that is its last word that is known here.
     bool onHeard(const daemon_id &name, std::int64_t incarnation, std::uint64_t version);
--- a/src/members/membership_protocol.h
+++ b/src/members/membership_protocol.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include "members/gossip_reports.h"
 #include "members/member_list.h"
 #include "members/probe_message.h"
 #include "members/update_queue.h"
-#include "members/word_sample.h"
 
 #include <random>
 #include <utility>
@@ -18,7 +18,7 @@
 };
 
 /// \brief What a living daemon told of its copy of the replicas' entries.
-struct digest_news
+struct peer_digest
 {
     /// Where that daemon answers other daemons.
     endpoint peer;
@@ -30,7 +30,7 @@
 /// \brief Finds out which daemons live by probes, and passes on what changed (SWIM).
 ///
 /// In each round a daemon pings a few others. One that does not answer is asked again, directly and
-/// through others; if that fails as well it is suspected, and gone if it does not deny that in
+/// through others; if that fails as well it is suspected, and gone if it does not refute that in
 /// time. News travels with the pings and their answers, so a daemon's cost is the same whatever
 /// their number, and silence of one link or of the daemon that probes makes nobody dead.
 ///
@@ -47,16 +47,16 @@
     /// \brief Takes in whether callers may be sent here, and whether this daemon reaches the store.
     void setSelf(bool isServing, bool isStoreReachable);
     /// \brief Takes in what this daemon tells the others of its places at the engines.
-    void setWords(place_words words) { m_words = std::move(words); }
+    void setDemandReports(concurrency_reports words) { m_words = std::move(words); }
     /// \brief Takes in what this daemon tells the others of replicas.
-    void setReplicaWords(replica_words words) { m_replicaWords = std::move(words); }
+    void setReplicaWords(replica_reports words) { m_replicaWords = std::move(words); }
 
     /// \brief Takes in this daemon's copy of the replicas' entries; its age goes on from \p now.
     void setReplicas(const table_digest &digest, time_point now);
 
     /// \brief Takes in a member that the store names. A row of this daemon's own name that an
     /// earlier run left has this run tell a larger incarnation, also if the clock went back.
-    void onListed(const member_state &state, time_point now);
+    void onStoredMember(const member_state &state, time_point now);
     /// \brief Begins a round. \returns the messages to send.
     std::vector<probe_datagram> onRound(time_point now);
     /// \brief Takes in a message that came from \p from. \returns the messages to send.
@@ -65,17 +65,20 @@
     /// \brief This daemon stops. \returns the messages that tell some others at once.
     std::vector<probe_datagram> leave();
     /// \returns a message for a daemon of which only the address is known.
-    probe_message introduction();
+    probe_message joinMessage();
 
     const member_list &members() const { return m_members; }
     /// \returns what other daemons told lately of their places at the engines.
-    std::vector<place_words> wordsHeard() const { return m_sample.heard(); }
+    std::vector<concurrency_reports> demandReportsHeard() const { return m_gossipReports.heard(); }
     /// \returns what other daemons told lately of replicas.
-    std::vector<replica_words> replicaWordsHeard() const { return m_sample.heardOfReplicas(); }
+    std::vector<replica_reports> replicaReportsHeard() const
+    {
+        return m_gossipReports.replicaReports();
+    }
     /// \returns the members that came or went since the last call.
     std::vector<member_change> takeChanges() { return m_members.takeChanges(); }
     /// \returns what came of other daemons' copies since the last call.
-    std::vector<digest_news> takeDigests() { return std::exchange(m_digests, {}); }
+    std::vector<peer_digest> takeDigests() { return std::exchange(m_digests, {}); }
 
 private:
     /// \brief A ping that was not answered yet.
@@ -96,17 +99,18 @@
     /// \returns a message with news of members, which counts as sent to one more.
     probe_message message(probe_kind kind, std::uint64_t sequence);
     /// \returns a message without news, for a receiver that may be gone.
-    probe_message bareMessage(probe_kind kind, std::uint64_t sequence) const;
+    probe_message messageWithoutUpdates(probe_kind kind, std::uint64_t sequence) const;
     /// \returns up to \p count members by chance out of \p candidates.
     member_list::selection pick(member_list::selection candidates, std::size_t count);
     std::vector<daemon_id> nextTargets();
     void learn(const member_update &news, time_point now);
-    void deny(const member_state &said);
+    void refute(const member_state &said);
     /// \returns whether no message has come for so long that this daemon is cut off itself.
-    bool isDeaf(time_point now) const;
+    bool isIsolated(time_point now) const;
     void suspect(const daemon_id &name, time_point now);
     void checkProbes(std::vector<probe_datagram> &out, time_point now);
-    void askOthers(std::uint64_t sequence, const probe &p, std::vector<probe_datagram> &out);
+    void requestIndirectProbes(std::uint64_t sequence, const probe &p,
+                               std::vector<probe_datagram> &out);
     void probeNext(std::vector<probe_datagram> &out, time_point now);
     void onAck(const probe_message &message, std::vector<probe_datagram> &out);
     std::optional<table_digest> replicasAt(time_point now) const;
@@ -115,13 +119,13 @@
     std::minstd_rand m_random;
     member_list m_members;
     update_queue m_updates;
-    word_sample m_sample;
-    place_words m_words;
-    replica_words m_replicaWords;
+    gossip_reports m_gossipReports;
+    concurrency_reports m_words;
+    replica_reports m_replicaWords;
     std::optional<table_digest> m_replicas;
     /// When \c m_replicas had the age that it tells.
     time_point m_replicasAt;
-    std::vector<digest_news> m_digests;
+    std::vector<peer_digest> m_digests;
     std::map<std::uint64_t, probe> m_probes;
     std::map<std::uint64_t, relayed_ping> m_relayed;
     std::uint64_t m_lastSequence = 0;
--- a/src/members/peer_transport.cpp
+++ b/src/members/peer_transport.cpp
@@ -10,24 +10,24 @@
 constexpr std::string_view relayPath = "/inner/store";
 constexpr std::string_view methodHeader = "Store-Method";
 constexpr std::string_view targetHeader = "Store-Target";
-constexpr std::string_view timeHeader = "Store-Time-Ms";
+constexpr std::string_view timeoutHeader = "Store-Time-Ms";
 
 /// Longest wait for a direct answer while the direct way is taken for lost: a host that the store
 /// turns away silently pays it for each look whether that is over.
-constexpr duration lostTime = milliseconds(400);
+constexpr duration timeoutWhileFailing = milliseconds(400);
 /// How long calls go through a peer before the direct way is tried again.
-constexpr duration directPause = milliseconds(700);
+constexpr duration directRetryInterval = milliseconds(700);
 constexpr duration connectTime = milliseconds(200);
 /// Time for a peer's call that does not say how long it may take, and the most that it may say: a
 /// call that the store holds on purpose lasts some seconds.
-constexpr std::int64_t usualMs = 1000;
+constexpr std::int64_t defaultTimeoutMs = 1000;
 constexpr std::int64_t mostMs = 5000;
 constexpr duration maxIdle = seconds(5);
 constexpr std::size_t maxIdleConnections = 8;
 
 constexpr int statusTooMany = 429;
 
-bool turnsAway(int status)
+bool isRejection(int status)
 {
     return status == statusTooMany || status == 503;
 }
@@ -44,7 +44,7 @@
     out.target = relayPath;
     out.headers.add(methodHeader, request.method);
     out.headers.add(targetHeader, request.target);
-    out.headers.add(timeHeader, std::to_string(toMilliseconds(timeLeft)));
+    out.headers.add(timeoutHeader, std::to_string(toMilliseconds(timeLeft)));
     out.headers.add("Content-Type", "application/octet-stream");
     out.body = std::move(request.body);
     return out;
@@ -64,11 +64,11 @@
 /// \returns when the peer gives up the call in \p request.
 time_point deadlineOf(const http_request &request)
 {
-    const std::string said(request.headers.get(timeHeader));
-    std::int64_t ms = usualMs;
+    const std::string said(request.headers.get(timeoutHeader));
+    std::int64_t ms = defaultTimeoutMs;
     const auto [end, error] = std::from_chars(said.data(), said.data() + said.size(), ms);
     if (error != std::errc() || end != said.data() + said.size())
-        ms = usualMs;
+        ms = defaultTimeoutMs;
     return runtime_clock::now() + milliseconds(std::clamp<std::int64_t>(ms, 0, mostMs));
 }
 
@@ -114,41 +114,41 @@
     auto response = co_await m_direct.exchange(std::move(request), deadline, {});
     // A call that went into a silence that is over tells nothing of the direct way as it is now.
     const bool isOutdated
-        = began < m_directAnsweredAt && !(response && !turnsAway(response->status));
+        = began < m_directAnsweredAt && !(response && !isRejection(response->status));
     if (!isOutdated)
-        noteDirect(response, std::move(path));
+        recordDirectResult(response, std::move(path));
     co_return response;
 }
 
-void peer_transport::noteDirect(const exchange_result &result, std::string path)
+void peer_transport::recordDirectResult(const exchange_result &result, std::string path)
 {
     const time_point now = runtime_clock::now();
-    if (result && !turnsAway(result->status)) {
+    if (result && !isRejection(result->status)) {
         m_directFailures = 0;
         m_answeredAt = now;
         m_directAnsweredAt = now;
-        m_limitedSince.reset();
+        m_rateLimitedSince.reset();
         return;
     }
     if (isLimited(result))
-        m_limitedSince = m_limitedSince.value_or(now);
+        m_rateLimitedSince = m_rateLimitedSince.value_or(now);
     // Taken for an outage, the store's limit would send every call a second time, through a peer.
     const bool isTolerated = m_mechanisms.has(mechanism::LimitIsNoOutage) && isLimited(result);
-    if (isTolerated && isDirectWorking() && now - *m_limitedSince < limitedTime)
+    if (isTolerated && isDirectWorking() && now - *m_rateLimitedSince < rateLimitTolerance)
         return;
     const bool isTimeout = !result && result.error().kind == http_error_kind::TimedOut;
-    m_directFailures += isTimeout ? 1 : failuresUntilLost;
+    m_directFailures += isTimeout ? 1 : directFailureThreshold;
     m_lastDirectFailure = std::move(path) + ": "
         + (result ? std::to_string(result->status) : result.error().detail);
     m_directFailedAt = now;
 }
 
-void peer_transport::noteTime(const exchange_result &result, duration took)
+void peer_transport::recordResponseTime(const exchange_result &result, duration took)
 {
-    if (result && !turnsAway(result->status))
-        m_patience.onAnswer(took);
+    if (result && !isRejection(result->status))
+        m_directTimeout.onAnswer(took);
     else if (!result && result.error().kind == http_error_kind::TimedOut)
-        m_patience.onTimeout();
+        m_directTimeout.onTimeout();
 }
 
 awaitable<tl::expected<http_response, http_error>>
@@ -166,7 +166,7 @@
     auto response = co_await connection.exchange(std::move(wrapped), deadline);
     if (response)
         m_pool.give(peer, std::move(connection), runtime_clock::now());
-    if (response && !turnsAway(response->status))
+    if (response && !isRejection(response->status))
         m_answeredAt = runtime_clock::now();
     co_return response;
 }
@@ -176,9 +176,10 @@
 {
     const time_point now = runtime_clock::now();
     const bool peerFirst
-        = !m_peers.empty() && !isDirectWorking() && now < m_directFailedAt + directPause;
-    const duration patience
-        = isDirectWorking() ? m_patience.wait() : std::min(m_patience.wait(), lostTime);
+        = !m_peers.empty() && !isDirectWorking() && now < m_directFailedAt + directRetryInterval;
+    const duration patience = isDirectWorking()
+        ? m_directTimeout.wait()
+        : std::min(m_directTimeout.wait(), timeoutWhileFailing);
     const time_point firstDeadline
         = m_peers.empty() ? deadline : std::min(deadline, now + patience + hold);
     http_request copy = request;
@@ -188,10 +189,10 @@
     else
         first = co_await exchangeDirectly(std::move(copy), firstDeadline);
     if (!peerFirst && hold == duration::zero())
-        noteTime(first, runtime_clock::now() - now);
+        recordResponseTime(first, runtime_clock::now() - now);
     if (isLimited(first) && (peerFirst || isDirectWorking()))
         co_return first;
-    const bool failed = !first || turnsAway(first->status);
+    const bool failed = !first || isRejection(first->status);
     if (!failed || m_peers.empty() || runtime_clock::now() >= deadline)
         co_return first;
     // The other way: every call may be made again, since reads change nothing and writes have
@@ -201,10 +202,10 @@
         second = co_await exchangeDirectly(std::move(request), deadline);
     else
         second = co_await exchangeThroughPeer(std::move(request), deadline);
-    const bool isInDoubt = !first && first.error().ran != outcome::DidNotRun;
-    const bool secondFailed = !second || turnsAway(second->status);
+    const bool isOutcomeUnknown = !first && first.error().ran != outcome::DidNotRun;
+    const bool secondFailed = !second || isRejection(second->status);
     // "Nothing was done" would be false if the first try may still take effect.
-    if (isInDoubt && secondFailed)
+    if (isOutcomeUnknown && secondFailed)
         co_return first;
     co_return second;
 }
--- a/src/members/peer_transport.h
+++ b/src/members/peer_transport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/mechanism.h"
-#include "members/answer_patience.h"
+#include "members/adaptive_timeout.h"
 #include "members/member_state.h"
 #include "store/store_transport.h"
 
@@ -26,7 +26,7 @@
     /// \returns whether direct calls are answered. A call beyond the store's rate is answered,
     /// unless only such answers came for a while: then the store turns this host away. One answer
     /// that does not come may be lost; two in a row, or one refusal, say that they are not.
-    bool isDirectWorking() const { return m_directFailures < failuresUntilLost; }
+    bool isDirectWorking() const { return m_directFailures < directFailureThreshold; }
     /// \returns when the store last answered, directly or through a peer.
     time_point lastAnswer() const { return m_answeredAt; }
     /// \returns what the last direct call that failed was, and how it failed.
@@ -39,20 +39,20 @@
 private:
     using exchange_result = tl::expected<http_response, http_error>;
 
-    void noteDirect(const exchange_result &result, std::string path);
+    void recordDirectResult(const exchange_result &result, std::string path);
     /// \brief Learns how long direct answers take.
-    void noteTime(const exchange_result &result, duration took);
+    void recordResponseTime(const exchange_result &result, duration took);
     awaitable<tl::expected<http_response, http_error>> exchangeThroughPeer(http_request request,
                                                                            time_point deadline);
 
-    static constexpr int failuresUntilLost = 2;
+    static constexpr int directFailureThreshold = 2;
     /// Nothing but "too many" for this long means that this host is turned away: a store at its
     /// limit answers some of the calls.
-    static constexpr duration limitedTime = milliseconds(400);
+    static constexpr duration rateLimitTolerance = milliseconds(400);
 
     mechanism_set m_mechanisms;
     direct_transport m_direct;
-    answer_patience m_patience;
+    adaptive_timeout m_directTimeout;
     connection_pool m_pool;
     std::vector<endpoint> m_peers;
     std::size_t m_nextPeer = 0;
@@ -61,7 +61,7 @@
     /// When a direct call last worked.
     time_point m_directAnsweredAt;
     /// When direct calls were first answered "too many", if nothing else has come since.
-    std::optional<time_point> m_limitedSince;
+    std::optional<time_point> m_rateLimitedSince;
     time_point m_answeredAt = runtime_clock::now();
     std::string m_lastDirectFailure;
 };
--- a/src/members/probe_message.cpp
+++ b/src/members/probe_message.cpp
@@ -17,7 +17,7 @@
 /// Words on places are told in hundredths, as whole numbers.
 constexpr double hundredths = 100;
 /// Largest number in a word on places, in hundredths: far above what a daemon or a replica bears.
-constexpr std::int64_t mostInWord = 10'000'000;
+constexpr std::int64_t maxReportedHundredths = 10'000'000;
 
 /// Fields of an update, which is an array: thirty go in one message.
 enum update_field : std::size_t {
@@ -34,11 +34,12 @@
     UpdateFields
 };
 
-json::value encode(const place_word &word)
+json::value encode(const concurrency_report &word)
 {
     json::array numbers;
     for (const double number : {word.wanted, word.inside, word.inflation, word.perReplica})
-        numbers.push_back(std::min<std::int64_t>(mostInWord, std::llround(hundredths * number)));
+        numbers.push_back(
+            std::min<std::int64_t>(maxReportedHundredths, std::llround(hundredths * number)));
     return numbers;
 }
 
@@ -71,29 +72,29 @@
 double numberIn(const json::value &value)
 {
     const auto number = value.to_number<std::int64_t>();
-    if (number < 0 || number > mostInWord)
+    if (number < 0 || number > maxReportedHundredths)
         throw std::out_of_range("a word on places");
     return double(number) / hundredths;
 }
 
-place_words wordsIn(const json::object &o)
+concurrency_reports demandReportsIn(const json::object &o)
 {
-    place_words words;
+    concurrency_reports words;
     for (const auto &[service, value] : o) {
-        const place_word word{numberIn(value.at(0)), numberIn(value.at(1)), numberIn(value.at(2)),
-                              numberIn(value.at(3))};
+        const concurrency_report word{numberIn(value.at(0)), numberIn(value.at(1)),
+                                      numberIn(value.at(2)), numberIn(value.at(3))};
         words.emplace(std::string(service), word);
     }
     return words;
 }
 
-replica_words replicaWordsIn(const json::object &o)
+replica_reports replicaReportsIn(const json::object &o)
 {
-    if (o.size() > mostReplicaWords)
+    if (o.size() > maxReplicaReports)
         throw std::out_of_range("words on replicas");
-    replica_words words;
+    replica_reports words;
     for (const auto &[id, value] : o)
-        words.emplace(upstream_id{std::string(id)}, enumIn<replica_word>(value));
+        words.emplace(upstream_id{std::string(id)}, enumIn<replica_report>(value));
     return words;
 }
 
@@ -125,15 +126,15 @@
     m.sender = {std::string(o.at("n").as_string())};
     m.incarnation = o.at("i").to_number<std::int64_t>();
     m.version = o.at("v").to_number<std::uint64_t>();
-    m.asksWho = o.contains("a");
+    m.requestsState = o.contains("a");
     if (const json::value *target = o.if_contains("t"))
         m.target = addressIn(*target);
     if (const json::value *words = o.if_contains("w"))
-        m.words = wordsIn(words->as_object());
+        m.words = demandReportsIn(words->as_object());
     if (const json::value *words = o.if_contains("f"))
-        m.replicaWords = replicaWordsIn(words->as_object());
+        m.replicaWords = replicaReportsIn(words->as_object());
     if (const json::value *replicas = o.if_contains("r"))
-        m.replicas = digestIn(*replicas);
+        m.replicas = digestFromJson(*replicas);
     if (const json::value *updates = o.if_contains("u")) {
         for (const json::value &update : updates->as_array())
             m.updates.push_back(updateIn(update));
@@ -151,7 +152,7 @@
     o["n"] = message.sender.value;
     o["i"] = message.incarnation;
     o["v"] = message.version;
-    if (message.asksWho)
+    if (message.requestsState)
         o["a"] = 1;
     if (message.target)
         o["t"] = toText(*message.target);
--- a/src/members/probe_message.h
+++ b/src/members/probe_message.h
@@ -2,7 +2,7 @@
 
 #include "members/member_update.h"
 #include "replicas/place_division.h"
-#include "replicas/replica_words.h"
+#include "replicas/replica_reports.h"
 #include "rows/table_cache.h"
 
 namespace azurehill {
@@ -33,13 +33,13 @@
     std::int64_t incarnation = 0;
     std::uint64_t version = 0;
     /// Whether the sender does not know the receiver's last word of itself, and wants to hear it.
-    bool asksWho = false;
+    bool requestsState = false;
     /// Whom to ping; for IndirectPing only.
     std::optional<endpoint> target;
     /// What the sender wants of the engines, and what it holds to be right there.
-    place_words words;
+    concurrency_reports words;
     /// What the sender has seen of replicas that fail requests, or failed them.
-    replica_words replicaWords;
+    replica_reports replicaWords;
     /// The sender's copy of the replicas' entries; in an Ack of a Ping only, whose receiver knows
     /// how old it may be by now.
     std::optional<table_digest> replicas;
--- a/src/members/update_queue.cpp
+++ b/src/members/update_queue.cpp
@@ -8,7 +8,7 @@
 /// by chance, one in 160,000 does not hear it (the share s with s = e^(-12(1-s))), whatever their
 /// number. With eight it was one in 3,000: of 150 daemons that stopped at once ten were still held
 /// for alive by one of the others four seconds later (replay of 300).
-constexpr int mostSent = 12;
+constexpr int maxTransmissions = 12;
 
 } // namespace
 
@@ -18,7 +18,7 @@
         m_order.erase(old->second);
         m_places.erase(old);
     }
-    place p{0, --m_added, member};
+    place p{0, --m_newestOrder, member};
     m_order.insert(p);
     m_places.emplace(member, std::move(p));
 }
@@ -31,7 +31,7 @@
     std::vector<daemon_id> members;
     for (auto &[sent, added, member] : taken) {
         members.push_back(member);
-        if (sent + 1 >= mostSent) {
+        if (sent + 1 >= maxTransmissions) {
             m_places.erase(member);
             continue;
         }
--- a/src/members/update_queue.h
+++ b/src/members/update_queue.h
@@ -29,7 +29,7 @@
 
     std::set<place> m_order;
     std::map<daemon_id, place> m_places;
-    std::int64_t m_added = 0;
+    std::int64_t m_newestOrder = 0;
 };
 
 } // namespace azurehill
--- a/src/program/program_reaper.cpp
+++ b/src/program/program_reaper.cpp
@@ -11,7 +11,7 @@
 };
 
 /// \returns a number that grows with whatever \p p and the programs below it do.
-family_activity activityOf(const program_book &book, const program &p)
+family_activity activityOf(const program_registry &book, const program &p)
 {
     family_activity a{p.lastTurn + p.spentTokens + 1, p.open.has_value()};
     for (const program_id &child : p.children) {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-std::vector<program_ended> program_reaper::tick(const program_book &book, time_point now,
+std::vector<program_ended> program_reaper::tick(const program_registry &book, time_point now,
                                                 std::int64_t nowUnixMs)
 {
     std::erase_if(m_seen, [&](const auto &entry) { return !book.find(entry.first); });
--- a/src/program/program_reaper.h
+++ b/src/program/program_reaper.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "program/program_book.h"
+#include "program/program_registry.h"
 
 #include <unordered_map>
 #include <vector>
@@ -16,7 +16,7 @@
 public:
     /// \returns the ends that are due: idle for longer than the class allows, or past the deadline
     /// with no call under way in the program or below it.
-    std::vector<program_ended> tick(const program_book &book, time_point now,
+    std::vector<program_ended> tick(const program_registry &book, time_point now,
                                     std::int64_t nowUnixMs);
 
 private:
--- a/src/program/program_book.cpp
+++ b/src/program/program_registry.cpp
@@ -1,4 +1,4 @@
-#include "program/program_book.h"
+#include "program/program_registry.h"
 
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 namespace {
 
 /// What the chat template may put around the reply when it comes back as part of a prompt.
-constexpr std::int64_t tokensAroundReply = 16;
+constexpr std::int64_t chatTemplateTokens = 16;
 
 tl::unexpected<refusal> refuse(refusal_reason reason, std::string detail)
 {
@@ -18,13 +18,13 @@
 
 } // namespace
 
-const program *program_book::find(const program_id &id) const
+const program *program_registry::find(const program_id &id) const
 {
     const auto it = m_programs.find(id);
     return it == m_programs.end() ? nullptr : &it->second;
 }
 
-void program_book::forget(const program_id &id)
+void program_registry::forget(const program_id &id)
 {
     const auto it = m_programs.find(id);
     if (it == m_programs.end())
@@ -36,13 +36,13 @@
     m_programs.erase(it);
 }
 
-void program_book::forgetFamily(const program_id &id)
+void program_registry::eraseFamily(const program_id &id)
 {
     const program_id root = rootOf(id);
     std::erase_if(m_programs, [&](const auto &entry) { return rootOf(entry.first) == root; });
 }
 
-std::int64_t program_book::freeTokens(const program_id &id) const
+std::int64_t program_registry::freeTokens(const program_id &id) const
 {
     const program *p = find(id);
     if (!p)
@@ -51,7 +51,8 @@
     return p->parent.empty() ? own : std::min(own, freeTokens(p->parent));
 }
 
-std::optional<refusal> program_book::whyOver(const program &p, std::int64_t nowUnixMs) const
+std::optional<refusal> program_registry::refusalIfEnded(const program &p,
+                                                        std::int64_t nowUnixMs) const
 {
     for (const program *at = &p; at; at = find(at->parent)) {
         if (at->ended) {
@@ -67,21 +68,21 @@
     return std::nullopt;
 }
 
-tl::expected<void, refusal> program_book::mayCreate(const program_created &created,
-                                                    std::int64_t nowUnixMs) const
+tl::expected<void, refusal> program_registry::checkCreation(const program_created &created,
+                                                            std::int64_t nowUnixMs) const
 {
     if (created.parent.empty())
         return {};
     const program *parent = find(created.parent);
     if (!parent)
         return refuse(refusal_reason::UnknownProgram, "unknown parent");
-    if (auto over = whyOver(*parent, nowUnixMs))
+    if (auto over = refusalIfEnded(*parent, nowUnixMs))
         return tl::unexpected(std::move(*over));
     return {};
 }
 
-tl::expected<call_decision, refusal> program_book::decide(const call_request &request,
-                                                          std::int64_t nowUnixMs) const
+tl::expected<call_decision, refusal> program_registry::decide(const call_request &request,
+                                                              std::int64_t nowUnixMs) const
 {
     const program *p = find(request.program);
     if (!p)
@@ -101,11 +102,11 @@
             return refuse(refusal_reason::KeyReused, "the turn has ended with another key");
         return replay_answer{it->second};
     }
-    if (auto over = whyOver(*p, nowUnixMs))
+    if (auto over = refusalIfEnded(*p, nowUnixMs))
         return tl::unexpected(std::move(*over));
     const std::int64_t next = p->lastTurn + 1;
     if (p->open && request.turn == p->open->turn + 1)
-        return wait_for_turn{};
+        return wait_for_previous_turn{};
     if (request.turn != next) {
         return refuse(refusal_reason::TurnOutOfOrder,
                       fmt::format("turn {} came, turn {} comes next", request.turn, next));
@@ -126,7 +127,7 @@
                                  request.idempotent, wanted}};
 }
 
-void program_book::create(const program_created &r)
+void program_registry::create(const program_created &r)
 {
     program p;
     p.id = r.program;
@@ -145,7 +146,7 @@
     m_programs.try_emplace(p.id, std::move(p));
 }
 
-void program_book::apply(const journal_record &record)
+void program_registry::apply(const journal_record &record)
 {
     const auto it = m_programs.find(programOf(record));
     if (const auto *created = std::get_if<program_created>(&record)) {
@@ -163,28 +164,28 @@
         record);
 }
 
-void program_book::addReserved(const program_id &from, std::int64_t tokens)
+void program_registry::addReserved(const program_id &from, std::int64_t tokens)
 {
     for (auto it = m_programs.find(from); it != m_programs.end();
          it = m_programs.find(it->second.parent))
         it->second.reservedTokens += tokens;
 }
 
-void program_book::addSpent(const program_id &from, std::int64_t tokens)
+void program_registry::addSpent(const program_id &from, std::int64_t tokens)
 {
     for (auto it = m_programs.find(from); it != m_programs.end();
          it = m_programs.find(it->second.parent))
         it->second.spentTokens += tokens;
 }
 
-void program_book::settle(program &p, std::int64_t spent)
+void program_registry::settle(program &p, std::int64_t spent)
 {
     addReserved(p.id, -p.open->reservedTokens);
     addSpent(p.id, spent);
     p.open.reset();
 }
 
-void program_book::applyTo(program &p, const call_begun &r)
+void program_registry::applyTo(program &p, const call_begun &r)
 {
     if (p.open)
         return;
@@ -195,7 +196,7 @@
     addReserved(p.id, r.reservedTokens);
 }
 
-void program_book::applyTo(program &p, const call_finished &r)
+void program_registry::applyTo(program &p, const call_finished &r)
 {
     if (!p.open || p.open->turn != r.turn || p.open->key != r.key)
         return;
@@ -207,12 +208,12 @@
         if (!p.history.empty())
             p.history += ',';
         p.history += r.messages;
-        p.historyTokens = r.spentTokens + tokensAroundReply;
+        p.historyTokens = r.spentTokens + chatTemplateTokens;
     }
     p.closed[r.turn] = closed_call{r.key, std::nullopt, r.status, r.reply, r.contentType};
 }
 
-void program_book::applyTo(program &p, const call_failed &r)
+void program_registry::applyTo(program &p, const call_failed &r)
 {
     if (!p.open || p.open->turn != r.turn || p.open->key != r.key)
         return;
@@ -226,17 +227,17 @@
     p.closed[r.turn] = closed_call{r.key, r.ran, 0, {}, {}};
 }
 
-void program_book::applyTo(program &p, const program_ended &r)
+void program_registry::applyTo(program &p, const program_ended &r)
 {
     end(p, r.reason);
 }
 
-void program_book::applyTo(program &p, const program_released &r)
+void program_registry::applyTo(program &p, const program_released &r)
 {
     p.engines.erase(r.engine);
 }
 
-void program_book::end(program &p, end_reason reason)
+void program_registry::end(program &p, end_reason reason)
 {
     if (!p.ended)
         p.ended = reason;
--- a/src/program/program_book.h
+++ b/src/program/program_registry.h
@@ -41,17 +41,18 @@
     closed_call call;
 };
 /// \brief The call comes next after one that is still under way: ask again when that has ended.
-struct wait_for_turn
+struct wait_for_previous_turn
 { };
 
-using call_decision = std::variant<begin_call, attach_to_call, replay_answer, wait_for_turn>;
+using call_decision
+    = std::variant<begin_call, attach_to_call, replay_answer, wait_for_previous_turn>;
 
 /// \brief The programs that this daemon owns.
 ///
 /// Requests are checked here and answered with records; apply() alone changes state, so replaying
 /// the same records gives the same state on any daemon. A sub-agent spends from its own budget and
 /// from that of every program above it, and ends with any of them.
-class program_book
+class program_registry
 {
 public:
     /// \brief Decides what becomes of \p request at calendar time \p nowUnixMs.
@@ -59,8 +60,8 @@
                                                 std::int64_t nowUnixMs) const;
 
     /// \returns nothing, or why \p created can't be created at calendar time \p nowUnixMs.
-    tl::expected<void, refusal> mayCreate(const program_created &created,
-                                          std::int64_t nowUnixMs) const;
+    tl::expected<void, refusal> checkCreation(const program_created &created,
+                                              std::int64_t nowUnixMs) const;
 
     /// \brief Changes the state by \p record. Records of unknown programs, and ends of calls
     /// that are not open, change nothing.
@@ -71,7 +72,7 @@
     /// \brief Drops one program, as if its creation had not been applied.
     void forget(const program_id &id);
     /// \brief Drops the whole family of \p id, which is no longer owned or must be read again.
-    void forgetFamily(const program_id &id);
+    void eraseFamily(const program_id &id);
 
     /// \returns tokens that the family of \p id may still reserve.
     std::int64_t freeTokens(const program_id &id) const;
@@ -87,7 +88,7 @@
     void addReserved(const program_id &from, std::int64_t tokens);
     void addSpent(const program_id &from, std::int64_t tokens);
     void end(program &p, end_reason reason);
-    std::optional<refusal> whyOver(const program &p, std::int64_t nowUnixMs) const;
+    std::optional<refusal> refusalIfEnded(const program &p, std::int64_t nowUnixMs) const;
 
     std::unordered_map<program_id, program> m_programs;
 };
--- a/src/program/release_planner.cpp
+++ b/src/program/release_planner.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-constexpr duration firstPause = seconds(1);
-constexpr duration longestPause = seconds(30);
+constexpr duration initialReleaseRetryDelay = seconds(1);
+constexpr duration maxReleaseRetryDelay = seconds(30);
 /// The host list is late: an engine that it doesn't name may be back after a moment.
-constexpr duration goneAfter = seconds(120);
+constexpr duration engineAbsenceTimeout = seconds(120);
 /// Bound on what one poll asks for, so that a mass end doesn't flood the engines.
-constexpr std::size_t maxUnderWay = 32;
+constexpr std::size_t maxReleasesInFlight = 32;
 
 /// A call that is under way would fill the engine's memory again after its release.
-bool mayRelease(const program &p)
+bool isReleasable(const program &p)
 {
     return p.ended && !p.open;
 }
 
 } // namespace
 
-void release_planner::onEngines(const std::set<upstream_id> &listed, time_point now)
+void release_planner::onListedEngines(const std::set<upstream_id> &listed, time_point now)
 {
-    m_firstList = std::min(m_firstList, now);
+    m_firstListAt = std::min(m_firstListAt, now);
     for (const upstream_id &engine : listed)
-        m_lastListed[engine] = now;
+        m_lastListedAt[engine] = now;
 }
 
-std::vector<release_order> release_planner::poll(const program_book &book, time_point now)
+std::vector<release_order> release_planner::poll(const program_registry &book, time_point now)
 {
     std::erase_if(m_attempts, [&](const auto &entry) {
         const program *p = book.find(entry.first.program);
@@ -39,13 +39,14 @@
                       [](const auto &entry) { return entry.second.underWay; }));
     std::vector<release_order> orders;
     for (const auto &[id, p] : book.programs()) {
-        if (!mayRelease(p))
+        if (!isReleasable(p))
             continue;
         for (const upstream_id &engine : p.engines) {
             const release_order order{id, engine};
             attempt &a
-                = m_attempts.try_emplace(order, attempt{false, now, firstPause}).first->second;
-            if (a.underWay || now < a.notBefore || underWay >= maxUnderWay)
+                = m_attempts.try_emplace(order, attempt{false, now, initialReleaseRetryDelay})
+                      .first->second;
+            if (a.underWay || now < a.nextAttemptAt || underWay >= maxReleasesInFlight)
                 continue;
             a.underWay = true;
             ++underWay;
@@ -62,35 +63,35 @@
         return;
     attempt &a = it->second;
     a.underWay = false;
-    a.notBefore = now + a.pause;
+    a.nextAttemptAt = now + a.pause;
     if (!confirmed)
-        a.pause = std::min(a.pause * 2, longestPause);
+        a.pause = std::min(a.pause * 2, maxReleaseRetryDelay);
 }
 
-std::vector<release_order> release_planner::gone(const program_book &book, time_point now) const
+std::vector<release_order> release_planner::gone(const program_registry &book, time_point now) const
 {
     std::vector<release_order> orders;
     for (const auto &[id, p] : book.programs()) {
-        if (!mayRelease(p))
+        if (!isReleasable(p))
             continue;
         for (const upstream_id &engine : p.engines) {
-            const auto it = m_lastListed.find(engine);
-            const time_point last = it == m_lastListed.end() ? m_firstList : it->second;
-            if (last != time_point::max() && now - last > goneAfter)
+            const auto it = m_lastListedAt.find(engine);
+            const time_point last = it == m_lastListedAt.end() ? m_firstListAt : it->second;
+            if (last != time_point::max() && now - last > engineAbsenceTimeout)
                 orders.push_back({id, engine});
         }
     }
     return orders;
 }
 
-std::vector<release_order> release_planner::reconcile(const program_book &book,
+std::vector<release_order> release_planner::reconcile(const program_registry &book,
                                                       const upstream_id &engine,
                                                       const std::vector<program_id> &held)
 {
     std::vector<release_order> orders;
     for (const program_id &id : held) {
         const program *p = book.find(id);
-        if (!p || mayRelease(*p))
+        if (!p || isReleasable(*p))
             orders.push_back({id, engine});
     }
     return orders;
--- a/src/program/release_planner.h
+++ b/src/program/release_planner.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "program/program_book.h"
+#include "program/program_registry.h"
 
 #include <map>
 #include <utility>
@@ -25,31 +25,32 @@
 {
 public:
     /// \brief Takes in the engines that the host list names.
-    void onEngines(const std::set<upstream_id> &listed, time_point now);
+    void onListedEngines(const std::set<upstream_id> &listed, time_point now);
     /// \returns the orders to send at \p now, each once until onAnswer().
-    std::vector<release_order> poll(const program_book &book, time_point now);
+    std::vector<release_order> poll(const program_registry &book, time_point now);
     /// \brief Takes in whether the engine confirmed \p order.
     void onAnswer(const release_order &order, bool confirmed, time_point now);
     /// \returns the engines that are gone, with their memory: their releases count as confirmed.
-    std::vector<release_order> gone(const program_book &book, time_point now) const;
+    std::vector<release_order> gone(const program_registry &book, time_point now) const;
 
     /// \returns what \p engine holds for no living program. \p held are programs that it
     /// reports and that this daemon owns and has loaded; one that the book doesn't know never was
     /// durable or has been forgotten.
-    static std::vector<release_order> reconcile(const program_book &book, const upstream_id &engine,
+    static std::vector<release_order> reconcile(const program_registry &book,
+                                                const upstream_id &engine,
                                                 const std::vector<program_id> &held);
 
 private:
     struct attempt
     {
         bool underWay = false;
-        time_point notBefore;
+        time_point nextAttemptAt;
         duration pause{};
     };
 
     std::map<release_order, attempt> m_attempts;
-    std::map<upstream_id, time_point> m_lastListed;
-    time_point m_firstList = time_point::max();
+    std::map<upstream_id, time_point> m_lastListedAt;
+    time_point m_firstListAt = time_point::max();
 };
 
 } // namespace azurehill
--- a/src/replicas/service_gate.cpp
+++ b/src/replicas/concurrency_limiter.cpp
@@ -1,4 +1,4 @@
-#include "replicas/service_gate.h"
+#include "replicas/concurrency_limiter.h"
 
 #include <algorithm>
 
@@ -9,142 +9,145 @@
 /// Requests of all daemons at one replica that the bound starts from at the most. Engines that slow
 /// down with each request bear fewer, which their pace shows within a second; those that don't
 /// would keep half of a burst waiting if the bound had to grow from a few.
-constexpr double startPerReplica = 16;
+constexpr double initialLimitPerReplica = 16;
 /// Requests at one replica that the bound never goes below, and the same as a share of its slots.
 /// So few don't slow an engine down: if events come slowly all the same, holding more requests back
 /// only leaves it idle. With the first alone, the bound at replicas of 96 slots was still falling
 /// four seconds after slow ones had recovered, to 3.9 requests at each (log of a recovery).
-constexpr double leastRequests = 3;
-constexpr double leastSlotShare = 1.0 / 12;
+constexpr double minRequestsPerReplica = 3;
+constexpr double minSlotFraction = 1.0 / 12;
 /// The bound never goes above this many times the slots: what does not fit waits in the engine,
 /// where nothing puts it in order. Above one, since clients spread unevenly over the daemons.
-constexpr double mostPerSlot = 1.25;
+constexpr double maxRequestsPerSlot = 1.25;
 /// Where the bound does not go by slots, what it starts from and ends at, a replica.
-constexpr double plainStart = 6;
-constexpr double plainMost = 64;
+constexpr double initialPlainLimitPerReplica = 6;
+constexpr double maxPlainLimitPerReplica = 64;
 /// Events may come this many times slower than from an idle engine. Programs are meant to end
 /// within two to three times their time on idle replicas, a part of which is spent in tools.
 constexpr double targetInflation = 3;
 /// The bound moves once in this time, about that of one answer.
-constexpr duration adjustPause = milliseconds(250);
+constexpr duration adjustInterval = milliseconds(250);
 constexpr double lowerBy = 0.94;
 constexpr double raiseBy = 1.1;
 /// The same while events come nearly as fast as from an idle engine.
-constexpr double raiseFastBy = 1.3;
-constexpr double nearlyIdle = 1.5;
-constexpr double paceWeight = 0.1;
+constexpr double fastIncreaseFactor = 1.3;
+constexpr double nearlyIdleInflation = 1.5;
+constexpr double eventIntervalWeight = 0.1;
 /// The idle pace forgets its lowest sample slowly, in case engines really got slower.
-constexpr double idleForget = 0.0005;
-constexpr int enoughSamples = 20;
+constexpr double idleIntervalDecay = 0.0005;
+constexpr int minSamples = 20;
 /// A request that so many others have passed gets one of the next places. By the order alone it
 /// waits behind all others for as long as more come than there are places: nine tries of one
 /// program's turns were refused after a restart of all daemons, and a request of a worse
 /// rank got none of a thousand places.
-constexpr std::uint64_t passedUntilNext = 8;
+constexpr std::uint64_t admissionsBeforePriority = 8;
 /// One place in so many goes to such requests, by turns to late or lost programs and to any: it
 /// bounds what the programs that the order puts first give up for them.
-constexpr std::uint64_t passedEvery = 4;
+constexpr std::uint64_t priorityAdmissionInterval = 4;
 /// Rounds after which a daemon's word has reached the others and is taken in there.
-constexpr std::size_t wordRounds = 3;
+constexpr std::size_t reportDelayRounds = 3;
 /// Part of the way to the agreed bound that a bound goes in a round. Words are old by some rounds:
 /// going all the way undid what was learned since, and bounds took 10.5 s to halve at slow engines
 /// in place of 3 s (replay of 11 daemons).
-constexpr double agreePull = 0.05;
+constexpr double mergeWeight = 0.05;
 
 } // namespace
 
-double service_gate::startLimit() const
+double concurrency_limiter::initialLimit() const
 {
     const bool fills = m_mechanisms.has(mechanism::FillSlots);
-    return (fills ? std::min(startPerReplica, slotsPerReplica()) : plainStart) * replicas();
+    return (fills ? std::min(initialLimitPerReplica, slotsPerReplica())
+                  : initialPlainLimitPerReplica)
+        * replicas();
 }
 
-double service_gate::mostLimit() const
+double concurrency_limiter::maxLimit() const
 {
     const bool fills = m_mechanisms.has(mechanism::FillSlots);
-    return (fills ? std::max(leastPerReplica(), mostPerSlot * slotsPerReplica()) : plainMost)
+    return (fills ? std::max(minLimitPerReplica(), maxRequestsPerSlot * slotsPerReplica())
+                  : maxPlainLimitPerReplica)
         * replicas();
 }
 
-double service_gate::leastPerReplica() const
+double concurrency_limiter::minLimitPerReplica() const
 {
-    return std::max(leastRequests, leastSlotShare * slotsPerReplica());
+    return std::max(minRequestsPerReplica, minSlotFraction * slotsPerReplica());
 }
 
-double service_gate::bounded(double limit) const
+double concurrency_limiter::bounded(double limit) const
 {
-    return std::max(leastPerReplica() * replicas(), std::min(limit, mostLimit()));
+    return std::max(minLimitPerReplica() * replicas(), std::min(limit, maxLimit()));
 }
 
-void service_gate::rescale(double replicasBefore)
+void concurrency_limiter::rescale(double replicasBefore)
 {
     // Before a pace has moved the bound, it is what the replicas that are known by now bear.
-    m_limit = m_isKnown ? m_limit * replicas() / replicasBefore : startLimit();
+    m_limit = m_isLimitLearned ? m_limit * replicas() / replicasBefore : initialLimit();
 }
 
-void service_gate::setEngines(const gate_engines &engines)
+void concurrency_limiter::setEngineCapacity(const engine_capacity &engines)
 {
     const double before = replicas();
     m_engines = engines;
     rescale(before);
 }
 
-void service_gate::setPart(double part)
+void concurrency_limiter::setLimitShare(double part)
 {
     const double before = replicas();
-    m_part = part;
+    m_limitShare = part;
     rescale(before);
 }
 
-bool service_gate::hasEnoughSamples() const
+bool concurrency_limiter::hasEnoughSamples() const
 {
-    return m_samples >= enoughSamples;
+    return m_samples >= minSamples;
 }
 
-place_word service_gate::word() const
+concurrency_report concurrency_limiter::word() const
 {
-    place_word word;
-    word.inside = m_inside;
-    word.wanted = m_inside;
+    concurrency_report word;
+    word.inside = m_inFlightRequests;
+    word.wanted = m_inFlightRequests;
     // Without a replica the daemon can use no place, and what it has learned is not of these.
     if (m_engines.replicas <= 0)
         return word;
-    word.wanted += place_demand(m_waiting.size());
+    word.wanted += request_demand(m_waiting.size());
     word.inflation = hasEnoughSamples() ? inflation() : 0;
-    word.perReplica = m_isKnown ? m_limit / replicas() : 0;
+    word.perReplica = m_isLimitLearned ? m_limit / replicas() : 0;
     return word;
 }
 
-place_word service_gate::tell()
+concurrency_report concurrency_limiter::tell()
 {
     m_told.push_back(word());
-    if (m_told.size() > wordRounds + 1)
+    if (m_told.size() > reportDelayRounds + 1)
         m_told.pop_front();
     return m_told.back();
 }
 
-void service_gate::hear(const place_sample &others)
+void concurrency_limiter::hear(const concurrency_report_sample &others)
 {
     m_heard.assign(others.heard.begin(), others.heard.end());
-    const place_demand own = m_told.empty() ? word().wanted : m_told.front().wanted;
-    setPart(placePart(own, others, places()));
-    const double agreed = agreedPerReplica(word(), others) * replicas();
+    const request_demand own = m_told.empty() ? word().wanted : m_told.front().wanted;
+    setLimitShare(concurrencyShare(own, others, places()));
+    const double agreed = mergedLimitPerReplica(word(), others) * replicas();
     if (agreed <= 0)
         return;
-    m_limit += (m_isKnown ? agreePull : 1) * (agreed - m_limit);
+    m_limit += (m_isLimitLearned ? mergeWeight : 1) * (agreed - m_limit);
     m_limit = bounded(m_limit);
-    m_isKnown = true;
+    m_isLimitLearned = true;
 }
 
-bool service_gate::enter(const gate_ticket &ticket)
+bool concurrency_limiter::enter(const admission_request &ticket)
 {
-    if (m_waiting.empty() && m_inside < std::max(1.0, m_limit)) {
-        ++m_inside;
+    if (m_waiting.empty() && m_inFlightRequests < std::max(1.0, m_limit)) {
+        ++m_inFlightRequests;
         return true;
     }
     // What was begun goes before what begins: a first turn that is refused costs its caller little,
     // a later one all that its program has done.
-    const order o{ticket.hope == program_hope::Lost,
+    const order o{ticket.hope == deadline_feasibility::Lost,
                   ticket.rank,
                   !ticket.continues,
                   ticket.hope,
@@ -152,13 +155,13 @@
                   ticket.number};
     m_waiting.emplace(o, ticket.number);
     m_orders.emplace(ticket.number, o);
-    m_arrivals.emplace(ticket.number, m_granted);
-    if (ticket.hope != program_hope::OnTime)
-        m_behind.insert(ticket.number);
+    m_arrivals.emplace(ticket.number, m_admissions);
+    if (ticket.hope != deadline_feasibility::OnTime)
+        m_lateRequests.insert(ticket.number);
     return false;
 }
 
-bool service_gate::withdraw(std::uint64_t number)
+bool concurrency_limiter::withdraw(std::uint64_t number)
 {
     const auto found = m_orders.find(number);
     if (found == m_orders.end())
@@ -166,81 +169,81 @@
     m_waiting.erase(found->second);
     m_orders.erase(found);
     m_arrivals.erase(number);
-    m_behind.erase(number);
+    m_lateRequests.erase(number);
     return true;
 }
 
-void service_gate::leave()
+void concurrency_limiter::leave()
 {
-    m_inside = std::max(0, m_inside - 1);
+    m_inFlightRequests = std::max(0, m_inFlightRequests - 1);
 }
 
-std::optional<std::uint64_t> service_gate::passedOver()
+std::optional<std::uint64_t> concurrency_limiter::starvedRequest()
 {
-    if (m_granted % passedEvery != 0)
+    if (m_admissions % priorityAdmissionInterval != 0)
         return std::nullopt;
-    const bool isForAny = m_granted % (2 * passedEvery) == 0;
+    const bool isForAny = m_admissions % (2 * priorityAdmissionInterval) == 0;
     const auto &[oldest, grantedBefore] = *m_arrivals.begin();
-    if (isForAny && m_granted - grantedBefore >= passedUntilNext)
+    if (isForAny && m_admissions - grantedBefore >= admissionsBeforePriority)
         return oldest;
     // The tries of a late program's turn wait ever shorter, so what counts is how many places have
     // passed such turns, not this try.
-    if (isForAny || m_behind.empty() || m_behindPassed < passedUntilNext)
+    if (isForAny || m_lateRequests.empty() || m_admissionsPastLate < admissionsBeforePriority)
         return std::nullopt;
-    m_behindPassed = 0;
-    return *m_behind.begin();
+    m_admissionsPastLate = 0;
+    return *m_lateRequests.begin();
 }
 
-std::uint64_t service_gate::next()
+std::uint64_t concurrency_limiter::next()
 {
-    ++m_granted;
-    if (!m_behind.empty())
-        ++m_behindPassed;
-    return passedOver().value_or(m_waiting.begin()->second);
+    ++m_admissions;
+    if (!m_lateRequests.empty())
+        ++m_admissionsPastLate;
+    return starvedRequest().value_or(m_waiting.begin()->second);
 }
 
-std::vector<std::uint64_t> service_gate::take()
+std::vector<std::uint64_t> concurrency_limiter::take()
 {
     std::vector<std::uint64_t> granted;
-    while (!m_waiting.empty() && m_inside < std::max(1.0, m_limit)) {
+    while (!m_waiting.empty() && m_inFlightRequests < std::max(1.0, m_limit)) {
         const std::uint64_t number = next();
         withdraw(number);
-        ++m_inside;
+        ++m_inFlightRequests;
         granted.push_back(number);
     }
     return granted;
 }
 
-double service_gate::inflation() const
+double concurrency_limiter::inflation() const
 {
-    return m_idlePace > 0 ? m_pace / m_idlePace : 1;
+    return m_idleEventInterval > 0 ? m_eventInterval / m_idleEventInterval : 1;
 }
 
-void service_gate::onPace(double msPerEvent, time_point now)
+void concurrency_limiter::onPace(double msPerEvent, time_point now)
 {
     if (m_samples == 0) {
-        m_pace = msPerEvent;
-        m_idlePace = msPerEvent;
+        m_eventInterval = msPerEvent;
+        m_idleEventInterval = msPerEvent;
     }
     ++m_samples;
-    m_pace += paceWeight * (msPerEvent - m_pace);
-    m_idlePace += idleForget * (m_pace - m_idlePace);
-    m_idlePace = std::min(m_idlePace, msPerEvent);
-    if (!hasEnoughSamples() || now < m_adjustedAt + adjustPause)
+    m_eventInterval += eventIntervalWeight * (msPerEvent - m_eventInterval);
+    m_idleEventInterval += idleIntervalDecay * (m_eventInterval - m_idleEventInterval);
+    m_idleEventInterval = std::min(m_idleEventInterval, msPerEvent);
+    if (!hasEnoughSamples() || now < m_adjustedAt + adjustInterval)
         return;
     m_adjustedAt = now;
     // Slow are engines that both this daemon and all together see slow: what one sees alone may be
     // a few unlucky answers, and what all have told is old by some rounds when engines recover.
-    const double seen = std::min(inflation(), agreedInflation(word(), m_heard));
+    const double seen = std::min(inflation(), mergedInflation(word(), m_heard));
     const bool isSlow = seen > targetInflation;
     // A bound that does not bind says nothing about how high it may go.
-    const bool binds = !m_waiting.empty() || m_inside + 1 >= m_limit;
+    const bool binds = !m_waiting.empty() || m_inFlightRequests + 1 >= m_limit;
     const bool fills = m_mechanisms.has(mechanism::FillSlots);
-    m_isKnown = m_isKnown || isSlow || binds;
+    m_isLimitLearned = m_isLimitLearned || isSlow || binds;
     if (isSlow)
         m_limit *= lowerBy;
     else if (binds)
-        m_limit *= fills && seen < nearlyIdle ? raiseFastBy : raiseBy;
+        m_limit *= fills && seen < nearlyIdleInflation ? fastIncreaseFactor : raiseBy;
     m_limit = bounded(m_limit);
 }
 
--- a/src/replicas/service_gate.h
+++ b/src/replicas/concurrency_limiter.h
@@ -17,21 +17,21 @@
 namespace azurehill {
 
 /// \brief How much a request's program can still win.
-enum class program_hope { OnTime, Late, Lost };
+enum class deadline_feasibility { OnTime, Late, Lost };
 
 template <>
-struct enum_names<program_hope>
+struct enum_names<deadline_feasibility>
 {
     static constexpr std::array<std::string_view, 3> names = {"on_time", "late", "lost"};
 };
 
 /// \brief A request that wants a place at a service's engines.
-struct gate_ticket
+struct admission_request
 {
     std::uint64_t number = 0;
     /// The route's rank, 0 first.
     int rank = 0;
-    program_hope hope = program_hope::OnTime;
+    deadline_feasibility hope = deadline_feasibility::OnTime;
     /// Time until its program should be finished.
     duration slack = duration::zero();
     /// Whether it goes on from an earlier turn.
@@ -39,7 +39,7 @@
 };
 
 /// \brief The engines that a gate stands before.
-struct gate_engines
+struct engine_capacity
 {
     /// Replicas that may take requests.
     int replicas = 0;
@@ -58,26 +58,27 @@
 ///
 /// The engines are all daemons' together, so the bound, the pace and the demand of each are told to
 /// the others, and each takes its part.
-class service_gate
+class concurrency_limiter
 {
 public:
-    explicit service_gate(const mechanism_set &mechanisms = {}) : m_mechanisms(mechanisms) { }
+    explicit concurrency_limiter(const mechanism_set &mechanisms = {})
+        : m_mechanisms(mechanisms) { }
 
     /// \brief Takes in the replicas that may take requests.
-    void setEngines(const gate_engines &engines);
+    void setEngineCapacity(const engine_capacity &engines);
     /// \brief Takes in this daemon's part of them, above 0. hear() sets it; before that it is all.
-    void setPart(double part);
+    void setLimitShare(double part);
 
     /// \returns what this daemon knows of its place at the engines now.
-    place_word word() const;
+    concurrency_report word() const;
     /// \returns what this daemon tells the others. Call it once for each round of words.
-    place_word tell();
+    concurrency_report tell();
     /// \brief Takes in what the other daemons before the same engines told last. Call it once for
     /// each round of words.
-    void hear(const place_sample &others);
+    void hear(const concurrency_report_sample &others);
 
     /// \returns whether the request may go now. If not it waits until take() names it.
-    bool enter(const gate_ticket &ticket);
+    bool enter(const admission_request &ticket);
     /// \brief The request gives up waiting. \returns whether it waited.
     bool withdraw(std::uint64_t number);
     /// \brief A request that went is over.
@@ -89,21 +90,21 @@
     void onPace(double msPerEvent, time_point now);
 
     std::size_t waiting() const { return m_waiting.size(); }
-    int inside() const { return m_inside; }
+    int inside() const { return m_inFlightRequests; }
     double limit() const { return m_limit; }
     /// \returns the requests of all daemons that the engines bear, as far as it is known here.
-    double places() const { return m_limit / m_part; }
-    const gate_engines &engines() const { return m_engines; }
-    double part() const { return m_part; }
+    double places() const { return m_limit / m_limitShare; }
+    const engine_capacity &engines() const { return m_engines; }
+    double part() const { return m_limitShare; }
     /// \returns how many times slower events come than from an idle engine.
     double inflation() const;
 
 private:
     /// Sorts those that wait; the one that goes first comes first.
-    using order = std::tuple<bool, int, bool, program_hope, duration, std::uint64_t>;
+    using order = std::tuple<bool, int, bool, deadline_feasibility, duration, std::uint64_t>;
 
     /// \returns the replicas that are this daemon's part.
-    double replicas() const { return std::max(1, m_engines.replicas) * m_part; }
+    double replicas() const { return std::max(1, m_engines.replicas) * m_limitShare; }
     double slotsPerReplica() const
     {
         return double(std::max(1, m_engines.slots)) / std::max(1, m_engines.replicas);
@@ -114,40 +115,40 @@
     /// \returns the number of the request that gets the next place.
     std::uint64_t next();
     /// \returns the request that must not be passed over again, if there is one.
-    std::optional<std::uint64_t> passedOver();
-    double startLimit() const;
-    double mostLimit() const;
+    std::optional<std::uint64_t> starvedRequest();
+    double initialLimit() const;
+    double maxLimit() const;
     /// \returns requests of all daemons at one replica that the bound does not go below.
-    double leastPerReplica() const;
+    double minLimitPerReplica() const;
     /// \returns \p limit, or what of it the engines allow.
     double bounded(double limit) const;
 
     mechanism_set m_mechanisms;
-    gate_engines m_engines;
-    double m_part = 1;
+    engine_capacity m_engines;
+    double m_limitShare = 1;
     /// What this daemon told in the last rounds, oldest first.
-    std::deque<place_word> m_told;
+    std::deque<concurrency_report> m_told;
     /// What those of the others that were heard told last.
-    std::vector<place_word> m_heard;
-    int m_inside = 0;
+    std::vector<concurrency_report> m_heard;
+    int m_inFlightRequests = 0;
     double m_limit = 0;
     /// Whether the bound is more than where it starts: the pace of answers has moved it, or
     /// another daemon told its own.
-    bool m_isKnown = false;
-    double m_pace = 0;
-    double m_idlePace = 0;
+    bool m_isLimitLearned = false;
+    double m_eventInterval = 0;
+    double m_idleEventInterval = 0;
     int m_samples = 0;
     time_point m_adjustedAt;
     std::map<order, std::uint64_t> m_waiting;
     std::map<std::uint64_t, order> m_orders;
     /// Places that went to requests that had waited.
-    std::uint64_t m_granted = 0;
-    /// Those that wait in order of arrival, with \c m_granted as it was when they came.
+    std::uint64_t m_admissions = 0;
+    /// Those that wait in order of arrival, with \c m_admissions as it was when they came.
     std::map<std::uint64_t, std::uint64_t> m_arrivals;
     /// Of these, the ones whose programs are late or lost.
-    std::set<std::uint64_t> m_behind;
+    std::set<std::uint64_t> m_lateRequests;
     /// Places that were given while one of these waited, since one of them got its place so.
-    std::uint64_t m_behindPassed = 0;
+    std::uint64_t m_admissionsPastLate = 0;
 };
 
 } // namespace azurehill
--- a/src/replicas/wait_estimate.cpp
+++ b/src/replicas/first_byte_time_estimator.cpp
@@ -1,4 +1,4 @@
-#include "replicas/wait_estimate.h"
+#include "replicas/first_byte_time_estimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,21 +11,21 @@
 constexpr double sampleWeight = 0.025;
 /// Until prompts of different lengths have been seen: an engine reads some ten to a hundred tokens
 /// in a millisecond.
-constexpr double startPerToken = 0.03;
+constexpr double initialMsPerToken = 0.03;
 /// Spread of lengths, in tokens squared, from which on the slope says something.
-constexpr double enoughVariance = 200.0 * 200.0;
-constexpr double leastPerToken = 0.002;
-constexpr double mostPerToken = 0.5;
+constexpr double minTokenVariance = 200.0 * 200.0;
+constexpr double minMsPerToken = 0.002;
+constexpr double maxMsPerToken = 0.5;
 /// A sample counts as no more than this many times what was expected: one replica that hangs must
 /// not spoil the estimate for all.
 constexpr double outlierFactor = 4;
-constexpr int enoughSamples = 10;
+constexpr int minSamples = 10;
 
 } // namespace
 
-void wait_estimate::add(double tokens, double ms)
+void first_byte_time_estimator::add(double tokens, double ms)
 {
-    if (m_samples >= enoughSamples)
+    if (m_samples >= minSamples)
         ms = std::min(ms, outlierFactor * expected(tokens) + 1);
     const double weight = std::max(sampleWeight, 1.0 / (1 + m_samples));
     m_deviation += weight * (std::abs(ms - expected(tokens)) - m_deviation);
@@ -38,14 +38,14 @@
     ++m_samples;
 }
 
-double wait_estimate::perToken() const
+double first_byte_time_estimator::perToken() const
 {
-    if (m_tokenVariance < enoughVariance || m_samples < enoughSamples)
-        return startPerToken;
-    return std::clamp(m_covariance / m_tokenVariance, leastPerToken, mostPerToken);
+    if (m_tokenVariance < minTokenVariance || m_samples < minSamples)
+        return initialMsPerToken;
+    return std::clamp(m_covariance / m_tokenVariance, minMsPerToken, maxMsPerToken);
 }
 
-double wait_estimate::base() const
+double first_byte_time_estimator::base() const
 {
     return std::max(0.5, m_meanMs - perToken() * m_meanTokens);
 }
--- a/src/replicas/wait_estimate.h
+++ b/src/replicas/first_byte_time_estimator.h
@@ -6,7 +6,7 @@
 
 /// \brief Learns how long answers of a service take to begin: a part that is always there, and a
 /// part for each prompt token that has to be read. An exponentially weighted linear regression.
-class wait_estimate
+class first_byte_time_estimator
 {
 public:
     /// \param tokens prompt tokens that the replica had to read.
--- a/src/replicas/place_division.cpp
+++ b/src/replicas/place_division.cpp
@@ -10,26 +10,27 @@
 /// Share of the places that is divided evenly even where places are short: a daemon whose callers
 /// have only just come has some before the others have heard of it, three to five rounds of gossip
 /// later.
-constexpr double evenShare = 0.1;
+constexpr double minEvenFraction = 0.1;
 
 /// One daemon's demand counts up to so many times all places: a false word must not take the places
 /// of all others.
-constexpr double mostWanted = 4;
+constexpr double maxDemandFactor = 4;
 
 /// Weight of the word of a daemon without requests at the engines, in requests.
-constexpr double leastWeight = 1;
+constexpr double minReportWeight = 1;
 
 /// \returns the mean of \p member over the words that have it, by the requests that are behind
 /// each.
-double meanOf(double place_word::*member, const place_word &own, const place_sample &others)
+double weightedMean(double concurrency_report::*member, const concurrency_report &own,
+                    const concurrency_report_sample &others)
 {
     double sum = 0;
     double weights = 0;
-    const auto add = [&](const place_word &word) {
+    const auto add = [&](const concurrency_report &word) {
         if (word.*member <= 0)
             return;
         // Those that wait have seen nothing of the engines.
-        const double weight = leastWeight + word.inside;
+        const double weight = minReportWeight + word.inside;
         sum += weight * (word.*member);
         weights += weight;
     };
@@ -40,34 +41,34 @@
 
 } // namespace
 
-double placePart(place_demand own, const place_sample &others, double places)
+double concurrencyShare(request_demand own, const concurrency_report_sample &others, double places)
 {
     const double even = 1 / double(1 + others.others);
     const bool isAnyHeard = !others.heard.empty() || others.others == 0;
     if (places <= 0 || !isAnyHeard)
         return even;
-    const double most = mostWanted * places;
+    const double most = maxDemandFactor * places;
     own = std::min(own, most);
     const double heard = std::accumulate(
         others.heard.begin(), others.heard.end(), 0.0,
-        [&](double sum, const place_word &w) { return sum + std::min(w.wanted, most); });
+        [&](double sum, const concurrency_report &w) { return sum + std::min(w.wanted, most); });
     const double daemonsPerWord
         = double(others.others) / double(std::max<std::size_t>(1, others.heard.size()));
     const double all = own + heard * daemonsPerWord;
     if (all <= 0)
         return even;
-    const double unwanted = std::max(evenShare, 1 - all / places);
+    const double unwanted = std::max(minEvenFraction, 1 - all / places);
     return unwanted * even + (1 - unwanted) * own / all;
 }
 
-double agreedPerReplica(const place_word &own, const place_sample &others)
+double mergedLimitPerReplica(const concurrency_report &own, const concurrency_report_sample &others)
 {
-    return meanOf(&place_word::perReplica, own, others);
+    return weightedMean(&concurrency_report::perReplica, own, others);
 }
 
-double agreedInflation(const place_word &own, const place_sample &others)
+double mergedInflation(const concurrency_report &own, const concurrency_report_sample &others)
 {
-    return meanOf(&place_word::inflation, own, others);
+    return weightedMean(&concurrency_report::inflation, own, others);
 }
 
 } // namespace azurehill
--- a/src/replicas/place_division.h
+++ b/src/replicas/place_division.h
@@ -9,38 +9,40 @@
 namespace azurehill {
 
 /// \brief Requests of one daemon that are at the engines of a service or wait for a place there.
-using place_demand = double;
+using request_demand = double;
 
 /// \brief What a daemon tells the others of its place at the engines of one service.
-struct place_word
+struct concurrency_report
 {
     /// Requests at the engines, and those that wait for a place there.
-    place_demand wanted = 0;
+    request_demand wanted = 0;
     /// Of these, the ones at the engines.
-    place_demand inside = 0;
+    request_demand inside = 0;
     /// How many times slower events come than from an idle engine; 0 if it has seen too few.
     double inflation = 0;
     /// Requests of all daemons at one replica that it holds to be right; 0 if it does not know.
     double perReplica = 0;
 
-    friend bool operator==(const place_word &, const place_word &) = default;
+    friend bool operator==(const concurrency_report &, const concurrency_report &) = default;
 };
 
 /// \brief The words of one daemon by service.
-using place_words = std::map<std::string, place_word, std::less<>>;
+using concurrency_reports = std::map<std::string, concurrency_report, std::less<>>;
 
 /// \brief What some or all of the other daemons told last.
-struct place_sample
+struct concurrency_report_sample
 {
-    place_sample() = default;
+    concurrency_report_sample() = default;
     /// \brief All others were heard.
-    place_sample(const std::vector<place_word> &all) : heard(all), others(all.size()) { }
+    concurrency_report_sample(const std::vector<concurrency_report> &all)
+        : heard(all), others(all.size())
+    { }
     /// \brief \p words came of some of \p count others.
-    place_sample(std::span<const place_word> words, std::size_t count)
+    concurrency_report_sample(std::span<const concurrency_report> words, std::size_t count)
         : heard(words), others(std::max(count, words.size()))
     { }
 
-    std::span<const place_word> heard;
+    std::span<const concurrency_report> heard;
     /// Other daemons that live, heard ones included. The rest counts like the mean of those.
     std::size_t others = 0;
 };
@@ -61,7 +63,7 @@
 /// \param others what the other daemons told last.
 /// \param places requests that the engines bear from all daemons; 0 if that is not known.
 /// \returns the part that is this daemon's, above 0 and at most 1.
-double placePart(place_demand own, const place_sample &others, double places);
+double concurrencyShare(request_demand own, const concurrency_report_sample &others, double places);
 
 /// \brief Puts together what daemons before the same replicas hold to be right.
 ///
@@ -70,11 +72,12 @@
 /// \param own what this daemon tells.
 /// \param others what the other daemons told last.
 /// \returns requests of all daemons at one replica, or 0 if none knows.
-double agreedPerReplica(const place_word &own, const place_sample &others);
+double mergedLimitPerReplica(const concurrency_report &own,
+                             const concurrency_report_sample &others);
 
 /// \brief Puts together how slow daemons before the same replicas see them.
 /// \returns how many times slower events come than from an idle engine, or 0 if none has seen
-/// enough; parameters as for agreedPerReplica().
-double agreedInflation(const place_word &own, const place_sample &others);
+/// enough; parameters as for mergedLimitPerReplica().
+double mergedInflation(const concurrency_report &own, const concurrency_report_sample &others);
 
 } // namespace azurehill
--- a/src/replicas/prefix_cache.cpp
+++ b/src/replicas/prefix_cache.cpp
@@ -14,7 +14,7 @@
 std::int64_t prefix_cache::held(const prompt_part &part, std::int64_t capacity) const
 {
     const auto found = m_parts.find(part.id);
-    const bool isKept = found != m_parts.end() && m_takenIn - found->second.usedAt <= capacity;
+    const bool isKept = found != m_parts.end() && m_tokensRead - found->second.usedAt <= capacity;
     return isKept ? std::min(part.tokens, found->second.tokens) : 0;
 }
 
@@ -34,12 +34,13 @@
 void prefix_cache::use(const std::vector<prompt_part> &parts, std::int64_t capacity)
 {
     for (const prompt_part &part : parts)
-        m_takenIn += part.tokens - held(part, capacity);
+        m_tokensRead += part.tokens - held(part, capacity);
     for (const prompt_part &part : parts)
-        m_parts[part.id] = {part.tokens, m_takenIn};
+        m_parts[part.id] = {part.tokens, m_tokensRead};
     if (m_parts.size() > maxParts) {
-        std::erase_if(m_parts,
-                      [&](const auto &item) { return m_takenIn - item.second.usedAt > capacity; });
+        std::erase_if(m_parts, [&](const auto &item) {
+            return m_tokensRead - item.second.usedAt > capacity;
+        });
     }
     if (m_parts.size() > maxParts)
         m_parts.clear();
--- a/src/replicas/prefix_cache.h
+++ b/src/replicas/prefix_cache.h
@@ -30,7 +30,7 @@
 
 private:
     /// \brief A part as it was sent last.
-    struct known_part
+    struct sent_part
     {
         /// Its tokens: a session's part grows with each turn.
         std::int64_t tokens = 0;
@@ -42,8 +42,8 @@
     std::int64_t held(const prompt_part &part, std::int64_t capacity) const;
 
     /// By the part's id.
-    std::unordered_map<std::string, known_part> m_parts;
-    std::int64_t m_takenIn = 0;
+    std::unordered_map<std::string, sent_part> m_parts;
+    std::int64_t m_tokensRead = 0;
 };
 
 } // namespace azurehill
--- a/src/replicas/replica_entry.cpp
+++ b/src/replicas/replica_entry.cpp
@@ -4,13 +4,13 @@
 
 replica_entry latestEntry(const replica_entry &known, const replica_entry &read)
 {
-    const std::int64_t knownBorn = known.incarnation.bornUnixMs;
-    const std::int64_t readBorn = read.incarnation.bornUnixMs;
-    if (readBorn != knownBorn)
-        return readBorn > knownBorn ? read : known;
+    const std::int64_t knownStart = known.incarnation.startedUnixMs;
+    const std::int64_t readStart = read.incarnation.startedUnixMs;
+    if (readStart != knownStart)
+        return readStart > knownStart ? read : known;
     // Without a birth a lower number may as well be a new start that can't be told from the old
     // one.
-    const bool isOlder = readBorn != 0 && read.sequence < known.sequence;
+    const bool isOlder = readStart != 0 && read.sequence < known.sequence;
     replica_entry latest = isOlder ? known : read;
     latest.draining = known.draining || read.draining;
     return latest;
--- a/src/replicas/replica_incarnation.h
+++ b/src/replicas/replica_incarnation.h
@@ -15,7 +15,7 @@
     upstream_id id;
     /// Milliseconds since 1970 by the replica's own clock; 0 when it was not told. It only orders
     /// the starts under one id, so clocks that differ between hosts do no harm.
-    std::int64_t bornUnixMs = 0;
+    std::int64_t startedUnixMs = 0;
 
     friend auto operator<=>(const replica_incarnation &, const replica_incarnation &) = default;
 };
--- a/src/replicas/replica_board.h
+++ b/src/replicas/replica_load_balancer.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "core/mechanism.h"
+#include "replicas/first_byte_time_estimator.h"
 #include "replicas/prefix_cache.h"
 #include "replicas/replica_entry.h"
-#include "replicas/replica_trust.h"
-#include "replicas/replica_words.h"
-#include "replicas/wait_estimate.h"
+#include "replicas/replica_outlier_detector.h"
+#include "replicas/replica_reports.h"
 
 #include <map>
 #include <memory>
@@ -43,7 +43,7 @@
 };
 
 /// \brief How a request ended at a replica.
-enum class send_end {
+enum class send_outcome {
     Answered,
     /// The replica answered with a failure of its own.
     Failed,
@@ -55,7 +55,7 @@
 };
 
 template <>
-struct enum_names<send_end>
+struct enum_names<send_outcome>
 {
     static constexpr std::array<std::string_view, 7> names
         = {"answered", "failed", "not_run", "broken", "silent", "unreachable", "cancelled"};
@@ -75,10 +75,11 @@
 };
 
 /// \brief The replicas of all services, this daemon's work on them, and the choice among them.
-class replica_board
+class replica_load_balancer
 {
 public:
-    replica_board(data_centre_id here, std::uint64_t seed, const mechanism_set &mechanisms = {});
+    replica_load_balancer(data_centre_id here, std::uint64_t seed,
+                          const mechanism_set &mechanisms = {});
 
     /// \brief Takes in the entries that the store lists now. A replica that started again under its
     /// id begins with nothing: what was learned of its old process does not hold for the new one.
@@ -108,24 +109,24 @@
     /// \brief Bytes of an answer came.
     void onHeard(const replica_incarnation &who, time_point now);
     /// \brief The request of \p p is over.
-    void onDone(const placement &p, send_end end, time_point now);
+    void onDone(const placement &p, send_outcome end, time_point now);
 
     /// \returns what this daemon has seen lately of replicas that fail requests, or failed them.
-    replica_words tell(time_point now) const;
+    replica_reports tell(time_point now) const;
     /// \brief Takes in what others told of replicas.
-    void hear(const std::vector<replica_words> &heard, time_point now);
+    void hear(const std::vector<replica_reports> &heard, time_point now);
 
     /// \returns when the replica was last heard of on any connection.
-    time_point lastHeard(const replica_incarnation &who) const;
+    time_point lastReceivedAt(const replica_incarnation &who) const;
     /// \returns the time that answers of \p service typically take to begin, with their spread.
-    std::optional<duration> typicalWait(std::string_view service) const;
+    std::optional<duration> typicalFirstByteTime(std::string_view service) const;
     std::size_t size() const { return m_replicas.size(); }
     /// \returns the number of replicas that get no requests because some failed there.
     int doubted() const;
     /// \returns the number of replicas of \p service that may take requests.
     int open(std::string_view service, time_point now) const;
     /// \returns the requests that those replicas together work on at once.
-    int openSlots(std::string_view service, time_point now) const;
+    int availableSlots(std::string_view service, time_point now) const;
 
 private:
     /// \brief A part of prompts and how often it was sent lately.
@@ -139,7 +140,7 @@
         replica_entry entry;
         bool leaving = false;
         int outstanding = 0;
-        replica_trust trust;
+        replica_outlier_detector trust;
         /// Typical time to the first byte as a multiple of that of the service.
         double slowness = 1;
         prefix_cache cache;
@@ -147,7 +148,7 @@
     };
     struct service_state
     {
-        wait_estimate wait;
+        first_byte_time_estimator wait;
         /// Prompt parts that many requests share, by the time of their last use.
         std::unordered_map<std::string, shared_part> shared;
         /// This daemon's requests under way at its replicas, and the number of these.
@@ -164,21 +165,22 @@
     replica_state *find(const replica_incarnation &who);
     bool mayTake(const replica_state &r, time_point now) const;
     /// \brief Finds out anew whether \p service fails requests at too many replicas.
-    void countFailing(const std::string &service);
+    void updateFailsEverywhere(const std::string &service);
     /// \returns the requests under way at a replica on average, if all daemons have as many.
-    double runningPerReplica(const service_state &service) const;
-    void noteEnd(replica_state &r, send_end end, time_point now);
+    double outstandingPerReplica(const service_state &service) const;
+    void recordOutcome(replica_state &r, send_outcome end, time_point now);
     /// \returns the time until this daemon tries a replica again that fails requests.
-    duration trialPause();
-    std::int64_t ownCapacity(const service_state &service) const;
+    duration trialDelay();
+    std::int64_t cacheTokensForDaemon(const service_state &service) const;
     std::int64_t cachedTokens(const replica_state &r, const placement_request &request,
                               const service_state &service, time_point now) const;
     double cost(const replica_state &r, const placement_request &request, std::int64_t cached,
                 const service_state &service);
     /// \returns the replica where all daemons look for the session of \p request first, or null.
-    const replica_state *homeOf(const std::vector<upstream_id> &group,
-                                const placement_request &request, time_point now) const;
-    void noteParts(service_state &service, const std::vector<prompt_part> &parts, time_point now);
+    const replica_state *sessionHome(const std::vector<upstream_id> &group,
+                                     const placement_request &request, time_point now) const;
+    void recordPartUses(service_state &service, const std::vector<prompt_part> &parts,
+                        time_point now);
 
     data_centre_id m_here;
     std::minstd_rand m_random;
--- a/src/replicas/replica_trust.h
+++ b/src/replicas/replica_outlier_detector.h
@@ -10,19 +10,19 @@
 ///
 /// Failures that come now and then are no reason to leave a replica out: a few percent of lost
 /// answers cost less than its room. Several in a row, or a peer that can't be reached, are.
-class replica_trust
+class replica_outlier_detector
 {
 public:
     /// \brief The replica answered, well or with a refusal.
     void onAnswer(time_point now);
     /// \brief The replica answered a request with a failure of its own. Answers that come at once
     /// make it look quick and idle, so that it would draw more and more requests.
-    /// \param trialPause time until it may be tried again, if it is left out now.
-    void onFailed(time_point now, duration trialPause);
+    /// \param trialDelay time until it may be tried again, if it is left out now.
+    void onFailed(time_point now, duration trialDelay);
     /// \brief Other daemons told that it fails requests, \p others of them.
-    void onOthersFail(int others, time_point now, duration trialPause);
+    void onOthersReportFailing(int others, time_point now, duration trialDelay);
     /// \brief Another daemon told that it answers again.
-    void onOthersAnswer(time_point now);
+    void onOthersReportRecovered(time_point now);
     /// \brief A request broke off or got no answer.
     void onBroken(time_point now);
     /// \brief No connection could be made, or the replica went silent: it is probably gone.
@@ -42,11 +42,11 @@
     /// \returns when the replica last answered again after it had been left out for failures.
     std::optional<time_point> recoveredAt() const { return m_recoveredAt; }
     /// \returns when the replica was last heard of.
-    time_point lastHeard() const { return m_lastHeard; }
+    time_point lastReceivedAt() const { return m_lastReceivedAt; }
 
 private:
     void eject(time_point now);
-    void leaveOut(time_point now, duration trialPause);
+    void ejectAsFailing(time_point now, duration trialDelay);
 
     int m_brokenInRow = 0;
     int m_ejections = 0;
@@ -54,9 +54,9 @@
     bool m_isFailing = false;
     time_point m_failedAt;
     std::optional<time_point> m_recoveredAt;
-    time_point m_outUntil;
+    time_point m_ejectedUntil;
     time_point m_trialAt;
-    time_point m_lastHeard;
+    time_point m_lastReceivedAt;
 };
 
 } // namespace azurehill
--- a/src/rows/read_turn.h
+++ b/src/rows/poll_schedule.h
@@ -7,7 +7,7 @@
 namespace azurehill {
 
 /// \brief How a daemon follows a table that all daemons read in turns.
-struct read_turns
+struct poll_schedule
 {
     /// Time within which each daemon must act on a change of the table.
     duration bound = seconds(2);
@@ -16,7 +16,7 @@
 };
 
 /// \returns the time between two looks whether this daemon reads the table.
-duration lookPause(const read_turns &turns);
+duration lookPause(const poll_schedule &turns);
 
 /// \brief Decides at a look whether this daemon reads the table itself.
 ///
@@ -25,6 +25,6 @@
 /// their own, so all of them falling back are spread over a pause.
 /// \param age how long ago its copy was certainly the table, or nothing before there is one.
 /// \param chance drawn evenly from 0 to 1.
-bool isReadDue(const read_turns &turns, std::optional<duration> age, double chance);
+bool isReadDue(const poll_schedule &turns, std::optional<duration> age, double chance);
 
 } // namespace azurehill
--- a/src/rows/table_cache.cpp
+++ b/src/rows/table_cache.cpp
@@ -9,7 +9,7 @@
 
 /// Rows that are gone are remembered up to this number, or that of the rows that are there; who
 /// missed more takes the table whole.
-constexpr std::size_t leastGone = 1000;
+constexpr std::size_t minTombstones = 1000;
 
 std::uint64_t hashOf(const std::string &key, store_version version)
 {
@@ -18,12 +18,12 @@
 
 } // namespace
 
-void table_cache::boundGone()
+void table_cache::limitTombstones()
 {
-    if (m_gone.size() <= std::max(leastGone, m_rows.size()))
+    if (m_tombstones.size() <= std::max(minTombstones, m_rows.size()))
         return;
-    m_gone.clear();
-    m_goneSince = m_version;
+    m_tombstones.clear();
+    m_tombstonesSince = m_version;
 }
 
 void table_cache::setRow(const stored_row &row)
@@ -37,42 +37,42 @@
         found->second = row;
     }
     m_hash += hashOf(key, row.version);
-    m_gone.erase(key);
+    m_tombstones.erase(key);
     m_changed.insert(key);
 }
 
-void table_cache::dropRow(const std::string &key, store_version version)
+void table_cache::removeRow(const std::string &key, store_version version)
 {
     const auto found = m_rows.find(key);
     if (found == m_rows.end() || found->second.version > version)
         return;
     m_hash -= hashOf(key, found->second.version);
     m_rows.erase(found);
-    m_gone[key] = version;
+    m_tombstones[key] = version;
     m_changed.insert(key);
 }
 
-void table_cache::becomeFresh(store_version version, time_point freshAt)
+void table_cache::markFresh(store_version version, time_point freshAt)
 {
     m_version = std::max(m_version, version);
     m_freshAt = m_freshAt ? std::max(*m_freshAt, freshAt) : freshAt;
-    boundGone();
+    limitTombstones();
 }
 
 void table_cache::replace(const row_map &rows, store_version version, time_point freshAt)
 {
     if (!m_freshAt)
-        m_goneSince = version;
+        m_tombstonesSince = version;
     std::vector<std::string> gone;
     for (const auto &[key, row] : m_rows) {
         if (!rows.contains(key))
             gone.push_back(key);
     }
     for (const std::string &key : gone)
-        dropRow(key, std::max(version, m_rows.at(key).version));
+        removeRow(key, std::max(version, m_rows.at(key).version));
     for (const auto &[key, row] : rows)
         setRow(row);
-    becomeFresh(version, freshAt);
+    markFresh(version, freshAt);
 }
 
 bool table_cache::onRead(const row_page &page, time_point began)
@@ -97,23 +97,23 @@
     for (const stored_row &row : page.rows) {
         const auto known = m_rows.find(row.name.key);
         if (row.deleted)
-            dropRow(row.name.key, row.version);
+            removeRow(row.name.key, row.version);
         else if (known == m_rows.end() || known->second.version < row.version)
             setRow(row);
     }
-    becomeFresh(page.version, began);
+    markFresh(page.version, began);
     return m_hash != before;
 }
 
-digest_verdict table_cache::onDigest(const table_digest &digest, time_point askedAt)
+digest_comparison table_cache::onDigest(const table_digest &digest, time_point askedAt)
 {
     if (!m_freshAt || (digest.hash != m_hash && digest.version > m_version))
-        return digest_verdict::Behind;
+        return digest_comparison::Behind;
     if (digest.hash != m_hash)
-        return digest_verdict::Ahead;
+        return digest_comparison::Ahead;
     m_freshAt = std::max(*m_freshAt, askedAt - digest.age);
     m_version = std::max(m_version, digest.version);
-    return digest_verdict::Same;
+    return digest_comparison::Same;
 }
 
 bool table_cache::onChanges(const table_changes &changes, time_point askedAt)
@@ -133,17 +133,17 @@
         replace(rows, digest.version, askedAt - digest.age);
         return true;
     }
-    if (hashWith(changes) != digest.hash)
+    if (hashAfter(changes) != digest.hash)
         return false;
     for (const auto &[key, version] : changes.gone)
-        dropRow(key, version);
+        removeRow(key, version);
     for (const stored_row &row : changes.rows)
         setRow(row);
-    becomeFresh(digest.version, askedAt - digest.age);
+    markFresh(digest.version, askedAt - digest.age);
     return true;
 }
 
-std::uint64_t table_cache::hashWith(const table_changes &changes) const
+std::uint64_t table_cache::hashAfter(const table_changes &changes) const
 {
     std::uint64_t hash = m_hash;
     std::map<std::string, std::optional<store_version>> next;
@@ -175,14 +175,14 @@
 {
     table_changes changes;
     changes.digest = digest(now).value_or(table_digest());
-    changes.isWhole = after < m_goneSince;
+    changes.isWhole = after < m_tombstonesSince;
     for (const auto &[key, row] : m_rows) {
         if (changes.isWhole || row.version > after)
             changes.rows.push_back(row);
     }
     if (changes.isWhole)
         return changes;
-    for (const auto &[key, version] : m_gone) {
+    for (const auto &[key, version] : m_tombstones) {
         if (version > after)
             changes.gone.emplace(key, version);
     }
--- a/src/rows/table_cache.h
+++ b/src/rows/table_cache.h
@@ -34,7 +34,7 @@
 };
 
 /// \brief What another daemon's digest says of this daemon's copy.
-enum class digest_verdict {
+enum class digest_comparison {
     /// The copies are the same.
     Same,
     /// The other copy is newer.
@@ -61,7 +61,7 @@
     bool onFeed(const row_page &page, time_point began);
     /// \brief Takes in the digest of another daemon's copy, from an answer to what was asked at
     /// \p askedAt.
-    digest_verdict onDigest(const table_digest &digest, time_point askedAt);
+    digest_comparison onDigest(const table_digest &digest, time_point askedAt);
     /// \brief Takes in changes from another daemon, asked for at \p askedAt.
     /// \returns whether this copy is now the same as its; if not, it is as it was.
     bool onChanges(const table_changes &changes, time_point askedAt);
@@ -84,11 +84,11 @@
 
     void replace(const row_map &rows, store_version version, time_point freshAt);
     void setRow(const stored_row &row);
-    void dropRow(const std::string &key, store_version version);
-    void boundGone();
-    void becomeFresh(store_version version, time_point freshAt);
+    void removeRow(const std::string &key, store_version version);
+    void limitTombstones();
+    void markFresh(store_version version, time_point freshAt);
     /// \returns the hash that this copy would have with the rows of \p changes.
-    std::uint64_t hashWith(const table_changes &changes) const;
+    std::uint64_t hashAfter(const table_changes &changes) const;
 
     row_map m_rows;
     std::uint64_t m_hash = 0;
@@ -96,8 +96,8 @@
     std::optional<time_point> m_freshAt;
     /// Rows that are gone, with the version at which that was seen, and the version since which all
     /// such are known here.
-    std::map<std::string, store_version> m_gone;
-    store_version m_goneSince = 0;
+    std::map<std::string, store_version> m_tombstones;
+    store_version m_tombstonesSince = 0;
     std::set<std::string> m_changed;
 };
 
--- a/src/rows/table_changes_codec.cpp
+++ b/src/rows/table_changes_codec.cpp
@@ -14,7 +14,7 @@
 /// Fields of a row, which is an array.
 enum row_field : std::size_t { Key, Value, Version, IsReadable, RowFields };
 
-stored_row rowIn(const json::value &value, const std::string &table)
+stored_row rowFromJson(const json::value &value, const std::string &table)
 {
     const json::array &a = value.as_array();
     if (a.size() < RowFields)
@@ -27,13 +27,13 @@
     return row;
 }
 
-table_changes changesIn(const json::object &o, const std::string &table)
+table_changes changesFromJson(const json::object &o, const std::string &table)
 {
     table_changes changes;
-    changes.digest = digestIn(o.at("digest"));
+    changes.digest = digestFromJson(o.at("digest"));
     changes.isWhole = o.at("whole").as_bool();
     for (const json::value &row : o.at("rows").as_array())
-        changes.rows.push_back(rowIn(row, table));
+        changes.rows.push_back(rowFromJson(row, table));
     for (const auto &[key, version] : o.at("gone").as_object())
         changes.gone.emplace(std::string(key), version.to_number<store_version>());
     return changes;
@@ -61,7 +61,7 @@
 {
     try {
         const json::value document = json::parse(text);
-        return changesIn(document.as_object(), table);
+        return changesFromJson(document.as_object(), table);
     } catch (const std::exception &) {
         // The caller reads the table itself.
         return std::nullopt;
--- a/src/rows/table_digest_json.cpp
+++ b/src/rows/table_digest_json.cpp
@@ -19,7 +19,7 @@
     return boost::json::array{digest.version, digest.hash, toMilliseconds(digest.age) + 1};
 }
 
-table_digest digestIn(const boost::json::value &value)
+table_digest digestFromJson(const boost::json::value &value)
 {
     table_digest digest;
     digest.version = value.at(0).to_number<store_version>();
--- a/src/rows/table_digest_json.h
+++ b/src/rows/table_digest_json.h
@@ -9,6 +9,6 @@
 /// \returns \p digest as an array of numbers: version, hash, age in milliseconds.
 boost::json::value toJson(const table_digest &digest);
 /// \returns the digest in \p value. \throws std::exception when it is none.
-table_digest digestIn(const boost::json::value &value);
+table_digest digestFromJson(const boost::json::value &value);
 
 } // namespace azurehill
--- a/src/rows/unreadable_rows.h
+++ b/src/rows/unreadable_row_log.h
@@ -12,7 +12,7 @@
 ///
 /// Tables are read again several times a second, and a row that another writer spoiled stays until
 /// somebody mends it: without a memory, each read would fill the log with the same line.
-class unreadable_rows
+class unreadable_row_log
 {
 public:
     /// \brief Logs \p event with the row's name and version, and \p detail, unless that was done.
--- a/src/rows/write_queue.cpp
+++ b/src/rows/write_queue.cpp
@@ -8,20 +8,20 @@
 namespace {
 
 /// Until the settings say what the store takes.
-constexpr double unknownRate = 800;
+constexpr double defaultWriteRate = 800;
 /// A daemon may save up this much of its time for a burst of its own.
-constexpr double savedSeconds = 0.1;
-constexpr double leastSaved = 2;
+constexpr double burstSeconds = 0.1;
+constexpr double minBurst = 2;
 /// A refused write halves the rate; without one for a while the rate grows by a fiftieth for each
 /// write. As with TCP's congestion window, daemons that see the same refusals come to equal rates.
 constexpr double lowerBy = 0.5;
 constexpr double raiseBy = 1.02;
-constexpr duration quietTime = milliseconds(200);
+constexpr duration recoveryDelay = milliseconds(200);
 /// Writes that go together. One condition that fails sends the others again, and more parts take
 /// longer: of 1, 2, 4 and 8, 62 hosts in a burst served 33, 56, 65 and 42 programs in 100.
-constexpr std::size_t mostMembers = 4;
+constexpr std::size_t maxBatchWrites = 4;
 /// What the store takes in one transaction: entries, and bytes less what base64 adds.
-constexpr std::size_t mostEntries = 100;
+constexpr std::size_t maxBatchEntries = 100;
 constexpr std::size_t mostBytes = 700U << 10U;
 
 std::size_t entriesOf(const store_transaction &t)
@@ -57,7 +57,7 @@
 
 } // namespace
 
-write_queue::write_queue() : m_writesPerSecond(unknownRate), m_rate(unknownRate) { }
+write_queue::write_queue() : m_writesPerSecond(defaultWriteRate), m_rate(defaultWriteRate) { }
 
 void write_queue::setRates(double writesPerSecond, int daemons)
 {
@@ -89,14 +89,15 @@
 void write_queue::refill(time_point now)
 {
     const std::chrono::duration<double> passed = now - m_filledAt;
-    const double most = std::max(leastSaved, savedSeconds * m_rate);
+    const double most = std::max(minBurst, burstSeconds * m_rate);
     m_credit = std::min(most, m_credit + m_rate * std::max(0.0, passed.count()));
     m_filledAt = now;
 }
 
 bool write_queue::fits(const store_transaction &batch, const store_transaction &t) const
 {
-    if (entriesOf(batch) + entriesOf(t) > mostEntries || bytesOf(batch) + bytesOf(t) > mostBytes)
+    if (entriesOf(batch) + entriesOf(t) > maxBatchEntries
+        || bytesOf(batch) + bytesOf(t) > mostBytes)
         return false;
     // Two changes of one row can't be told apart by one condition each.
     const std::set<row_name> taken = namesOf(batch);
@@ -112,13 +113,13 @@
         return std::nullopt;
     // Writes share a transaction only while there is not enough credit for one each: together they
     // take twice as long, and one condition that fails holds up all.
-    const bool isScarce = m_mayMerge && m_credit < double(m_waiting.size());
+    const bool isCreditShort = m_mayMerge && m_credit < double(m_waiting.size());
     write_batch batch;
     // The first is the most urgent one.
     batch.transaction.urgency = std::get<write_urgency>(m_waiting.begin()->first);
     for (auto it = m_waiting.begin(); it != m_waiting.end();) {
         const bool isFirst = batch.members.empty();
-        if (!isFirst && (!isScarce || batch.members.size() >= mostMembers))
+        if (!isFirst && (!isCreditShort || batch.members.size() >= maxBatchWrites))
             break;
         if (!isFirst && !fits(batch.transaction, it->second.transaction)) {
             ++it;
@@ -135,7 +136,7 @@
     return batch;
 }
 
-std::optional<time_point> write_queue::nextAt() const
+std::optional<time_point> write_queue::nextBatchAt() const
 {
     if (m_waiting.empty())
         return std::nullopt;
@@ -146,10 +147,10 @@
 void write_queue::onLimited(time_point now)
 {
     // Writes that were under way together are refused together: they count as one sign.
-    constexpr duration oneSign = milliseconds(50);
-    if (now - m_loweredAt >= oneSign) {
+    constexpr duration refusalWindow = milliseconds(50);
+    if (now - m_decreasedAt >= refusalWindow) {
         m_rate = std::max(share(), lowerBy * m_rate);
-        m_loweredAt = now;
+        m_decreasedAt = now;
     }
     m_limitedAt = now;
     refill(now);
@@ -158,7 +159,7 @@
 
 void write_queue::onDone(time_point now)
 {
-    if (now - m_limitedAt >= quietTime)
+    if (now - m_limitedAt >= recoveryDelay)
         m_rate = std::min(m_writesPerSecond, raiseBy * m_rate);
 }
 
--- a/src/rows/write_queue.h
+++ b/src/rows/write_queue.h
@@ -46,7 +46,7 @@
     /// \returns what may go now, or nothing.
     std::optional<write_batch> take(time_point now);
     /// \returns when take() may have something, if anything waits.
-    std::optional<time_point> nextAt() const;
+    std::optional<time_point> nextBatchAt() const;
 
     /// \brief The store refused a write as beyond its rate.
     void onLimited(time_point now);
@@ -80,7 +80,7 @@
     double m_credit = 1;
     time_point m_filledAt;
     time_point m_limitedAt;
-    time_point m_loweredAt;
+    time_point m_decreasedAt;
     std::map<order, waiting_write> m_waiting;
     std::map<std::uint64_t, order> m_orders;
 };
--- a/src/sched/admission.h
+++ b/src/sched/admission_controller.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "sched/call.h"
-#include "sched/knobs.h"
+#include "sched/scheduler_parameters.h"
 
 #include <map>
 #include <random>
@@ -23,7 +23,7 @@
 };
 
 /// \brief How things stand when a program asks to begin.
-struct admission_view
+struct admission_state
 {
     /// Calls per slot of the service's replicas, those that wait here included.
     double pressure = 0;
@@ -37,19 +37,21 @@
 class admission
 {
 public:
-    admission(const sched_knobs &knobs, std::uint64_t seed) : m_knobs(knobs), m_random(seed) { }
-    void setKnobs(const sched_knobs &knobs) { m_knobs = knobs; }
+    admission(const scheduler_parameters &knobs, std::uint64_t seed)
+        : m_parameters(knobs), m_random(seed)
+    { }
+    void setParameters(const scheduler_parameters &knobs) { m_parameters = knobs; }
 
     /// \returns nothing if the program may begin, or the time after which to ask again.
-    std::optional<duration> refuse(const program_request &request, const admission_view &view);
+    std::optional<duration> refuse(const program_request &request, const admission_state &view);
     /// \brief Learns how long programs of a class take at present.
     void onProgramEnd(const std::string &programClass, duration latency);
 
 private:
-    bool missesDeadline(const program_request &request, const admission_view &view) const;
+    bool missesDeadline(const program_request &request, const admission_state &view) const;
     duration comeBack(double pressure);
 
-    sched_knobs m_knobs;
+    scheduler_parameters m_parameters;
     std::minstd_rand m_random;
     std::map<std::string, double> m_latency;
 };
--- a/src/sched/prefix_map.cpp
+++ b/src/sched/prefix_map.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Share of the entries from before a gap that are taken to be still there.
-constexpr double trustAfterGap = 0.7;
+constexpr double confidenceAfterGap = 0.7;
 /// Only the replicas used last are remembered for a prefix.
 constexpr std::size_t maxHolders = 8;
 
@@ -36,7 +36,7 @@
 {
     event_state &state = m_events[replica];
     if (state.last != 0 && event.sequence != state.last + 1)
-        state.doubtedBefore = now;
+        state.uncertainBefore = now;
     state.last = event.sequence;
     drop(event.prefix, replica);
 }
@@ -77,7 +77,7 @@
 double prefix_map::trust(const holder &h) const
 {
     const auto it = m_events.find(h.replica);
-    return it != m_events.end() && h.usedAt < it->second.doubtedBefore ? trustAfterGap : 1;
+    return it != m_events.end() && h.usedAt < it->second.uncertainBefore ? confidenceAfterGap : 1;
 }
 
 } // namespace azurehill
--- a/src/sched/prefix_map.h
+++ b/src/sched/prefix_map.h
@@ -46,7 +46,7 @@
     {
         std::uint64_t last = 0;
         /// Entries not used since then may have been dropped by an event that got lost.
-        time_point doubtedBefore;
+        time_point uncertainBefore;
     };
 
     double trust(const holder &h) const;
--- a/src/sched/replica_health.cpp
+++ b/src/sched/replica_health.cpp
@@ -11,7 +11,7 @@
 constexpr double outlierFactor = 4;
 constexpr int samplesBeforeEjection = 3;
 constexpr int failuresBeforeEjection = 3;
-constexpr int goodCallsToReturn = 5;
+constexpr int successesToClose = 5;
 constexpr int maxEjectionDoublings = 4;
 constexpr duration firstEjection = seconds(5);
 constexpr duration probeInterval = seconds(2);
@@ -34,12 +34,12 @@
 {
     h.openUntil = now + firstEjection * (1 << std::min(h.ejections, maxEjectionDoublings));
     ++h.ejections;
-    h.goodCallsWanted = goodCallsToReturn;
+    h.successesNeeded = successesToClose;
     h.samples = 0;
     h.failuresInRow = 0;
 }
 
-void replica_health::onGoodEnd(replica_index index, double slowness, time_point now)
+void replica_health::onSuccess(replica_index index, double slowness, time_point now)
 {
     health &h = m_health[index];
     sample(h, slowness);
@@ -47,11 +47,11 @@
     const bool outlier = h.slowness > outlierFactor * m_typical;
     if (now < h.openUntil)
         return;
-    if (h.goodCallsWanted > 0 && slowness < outlierFactor * m_typical) {
+    if (h.successesNeeded > 0 && slowness < outlierFactor * m_typical) {
         h.slowness = std::min(h.slowness, slowness);
-        if (--h.goodCallsWanted == 0)
+        if (--h.successesNeeded == 0)
             h.ejections = 0;
-    } else if (outlier && (h.samples >= samplesBeforeEjection || h.goodCallsWanted > 0)) {
+    } else if (outlier && (h.samples >= samplesBeforeEjection || h.successesNeeded > 0)) {
         eject(h, now);
     }
 }
@@ -62,7 +62,7 @@
     ++h.failuresInRow;
     if (now < h.openUntil)
         return;
-    if (h.goodCallsWanted > 0 || h.failuresInRow >= failuresBeforeEjection)
+    if (h.successesNeeded > 0 || h.failuresInRow >= failuresBeforeEjection)
         eject(h, now);
 }
 
@@ -89,7 +89,7 @@
         return circuit::Closed;
     if (now < it->second.openUntil)
         return circuit::Open;
-    return it->second.goodCallsWanted > 0 ? circuit::Returning : circuit::Closed;
+    return it->second.successesNeeded > 0 ? circuit::Returning : circuit::Closed;
 }
 
 bool replica_health::mayTake(replica_index index, time_point now) const
--- a/src/sched/replica_health.h
+++ b/src/sched/replica_health.h
@@ -23,7 +23,7 @@
 class replica_health
 {
 public:
-    void onGoodEnd(replica_index index, double slowness, time_point now);
+    void onSuccess(replica_index index, double slowness, time_point now);
     void onFailure(replica_index index, time_point now);
     /// \brief A call that is under way has taken \p slowness times its estimate already.
     void onOverdue(replica_index index, double slowness, time_point now);
@@ -48,7 +48,7 @@
         time_point openUntil;
         time_point probedAt;
         /// Good calls that are still wanted before the replica is trusted as before.
-        int goodCallsWanted = 0;
+        int successesNeeded = 0;
     };
 
     void sample(health &h, double slowness);
--- a/src/sched/replica_table.cpp
+++ b/src/sched/replica_table.cpp
@@ -17,7 +17,7 @@
         const int outstanding = e.listed.outstanding;
         // A host that was started again under its name has not said that it leaves.
         if (e.listed.address != r.address)
-            e.saidLeaving = false;
+            e.reportedLeaving = false;
         e.listed = r;
         e.listed.outstanding = outstanding;
         e.gone = false;
@@ -27,7 +27,7 @@
 
 void replica_table::setLeaving(replica_index index)
 {
-    m_entries[index].saidLeaving = true;
+    m_entries[index].reportedLeaving = true;
     regroup();
 }
 
@@ -53,8 +53,8 @@
         return;
     e.report = report;
     while (!e.changes.empty() && e.changes.front().at <= report.takenAt) {
-        e.changedCalls -= e.changes.front().calls;
-        e.changedPrefill -= e.changes.front().prefillTokens;
+        e.callsSinceReport -= e.changes.front().calls;
+        e.prefillSinceReport -= e.changes.front().prefillTokens;
         e.changes.pop_front();
     }
 }
@@ -67,8 +67,8 @@
     if (e.report.takenAt == time_point())
         return;
     e.changes.push_back({now, calls, prefillTokens});
-    e.changedCalls += calls;
-    e.changedPrefill += prefillTokens;
+    e.callsSinceReport += calls;
+    e.prefillSinceReport += prefillTokens;
 }
 
 void replica_table::onSent(replica_index index, std::int64_t promptTokens,
@@ -98,7 +98,7 @@
 bool replica_table::isOpen(replica_index index) const
 {
     const entry &e = m_entries[index];
-    return !e.gone && !e.saidLeaving && !e.listed.leaving;
+    return !e.gone && !e.reportedLeaving && !e.listed.leaving;
 }
 
 load_estimate replica_table::load(replica_index index) const
@@ -106,9 +106,9 @@
     const entry &e = m_entries[index];
     if (e.report.takenAt == time_point())
         return {double(e.listed.outstanding), double(e.ownPrefill)};
-    const int calls = e.report.running + e.report.waiting + e.changedCalls;
+    const int calls = e.report.running + e.report.waiting + e.callsSinceReport;
     return {double(std::max(calls, e.listed.outstanding)),
-            double(std::max<std::int64_t>(e.report.prefillTokens + e.changedPrefill, 0))};
+            double(std::max<std::int64_t>(e.report.prefillTokens + e.prefillSinceReport, 0))};
 }
 
 const replica_group &replica_table::group(std::string_view service) const
--- a/src/sched/replica_table.h
+++ b/src/sched/replica_table.h
@@ -62,7 +62,7 @@
 
 private:
     /// \brief A change by this daemon that the last report may not show yet.
-    struct own_change
+    struct local_change
     {
         time_point at;
         int calls = 0;
@@ -72,13 +72,13 @@
     {
         replica listed;
         bool gone = false;
-        bool saidLeaving = false;
+        bool reportedLeaving = false;
         load_report report;
         std::int64_t ownTokens = 0;
         std::int64_t ownPrefill = 0;
-        std::deque<own_change> changes;
-        int changedCalls = 0;
-        std::int64_t changedPrefill = 0;
+        std::deque<local_change> changes;
+        int callsSinceReport = 0;
+        std::int64_t prefillSinceReport = 0;
     };
 
     static void change(entry &e, int calls, std::int64_t prefillTokens, time_point now);
--- a/src/sched/retry_budget.h
+++ b/src/sched/retry_budget.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "sched/call.h"
-#include "sched/knobs.h"
+#include "sched/scheduler_parameters.h"
 
 #include <random>
 
@@ -12,8 +12,8 @@
 class retry_budget
 {
 public:
-    retry_budget(const sched_knobs &knobs, std::uint64_t seed)
-        : m_share(knobs.retryShare), m_random(seed)
+    retry_budget(const scheduler_parameters &knobs, std::uint64_t seed)
+        : m_share(knobs.retryRatio), m_random(seed)
     { }
 
     void setShare(double share) { m_share = share; }
--- a/src/sched/router.cpp
+++ b/src/sched/router.cpp
@@ -8,8 +8,8 @@
 
 /// Candidates drawn by chance in a large group. Few are as good as all of them (two choices do
 /// most of it), and they keep the daemons from all picking the one replica that looks best.
-constexpr std::size_t nearSample = 12;
-constexpr std::size_t farSample = 12;
+constexpr std::size_t maxNearCandidates = 12;
+constexpr std::size_t maxFarCandidates = 12;
 /// Calls beyond the slots of a batch wait for about this many tokens of a call before them.
 constexpr double tokensPerWaitingCall = 200;
 
@@ -26,8 +26,8 @@
         m_candidates.push_back(from[any(m_random)]);
 }
 
-void router::collectHolders(prefix_key prefix, const pending_call &call, const replica_table &table,
-                            const prefix_map &prefixes)
+void router::addHolders(prefix_key prefix, const pending_call &call, const replica_table &table,
+                        const prefix_map &prefixes)
 {
     for (const prefix_map::holder &h : prefixes.holders(prefix)) {
         if (table.isOpen(h.replica) && table.at(h.replica).service == call.service)
@@ -37,10 +37,10 @@
 
 double router::waitSeconds(const load_estimate &load) const
 {
-    const double slots = m_knobs.slotsPerReplica;
-    const double perCall = tokensPerWaitingCall * m_knobs.secondsPerOutputToken;
+    const double slots = m_parameters.slotsPerReplica;
+    const double perCall = tokensPerWaitingCall * m_parameters.secondsPerOutputToken;
     const double waiting = std::max(0.0, load.calls - slots);
-    return load.prefillTokens / m_knobs.prefillTokensPerSecond + waiting * perCall / slots;
+    return load.prefillTokens / m_parameters.prefillTokensPerSecond + waiting * perCall / slots;
 }
 
 std::int64_t router::cachedTokens(const pending_call &call, replica_index index,
@@ -59,14 +59,14 @@
 {
     const replica_group &group = table.group(call.service);
     m_candidates.clear();
-    collectHolders(stableHash(call.program.value), call, table, prefixes);
+    addHolders(stableHash(call.program.value), call, table, prefixes);
     if (call.sharedPrefix != 0)
-        collectHolders(call.sharedPrefix, call, table, prefixes);
-    collect(group.near, nearSample);
-    collect(group.far, farSample);
+        addHolders(call.sharedPrefix, call, table, prefixes);
+    collect(group.near, maxNearCandidates);
+    collect(group.far, maxFarCandidates);
 
-    std::uniform_real_distribution<double> factor(1, 1 + m_knobs.spread);
-    const double distance = std::chrono::duration<double>(m_knobs.distance).count();
+    std::uniform_real_distribution<double> factor(1, 1 + m_parameters.spread);
+    const double distance = std::chrono::duration<double>(m_parameters.distance).count();
     std::optional<route> best;
     double bestCost = 0;
     for (const replica_index index : m_candidates) {
@@ -74,14 +74,14 @@
             continue;
         const load_estimate load = table.load(index);
         const std::int64_t prefill = call.promptTokens - cachedTokens(call, index, prefixes);
-        const double prefillSeconds = double(prefill) / m_knobs.prefillTokensPerSecond;
-        const double busy = std::min(load.calls / m_knobs.slotsPerReplica, 1.0);
-        const double decode = expectedOutput * m_knobs.secondsPerOutputToken * (1 + busy) / 2;
+        const double prefillSeconds = double(prefill) / m_parameters.prefillTokensPerSecond;
+        const double busy = std::min(load.calls / m_parameters.slotsPerReplica, 1.0);
+        const double decode = expectedOutput * m_parameters.secondsPerOutputToken * (1 + busy) / 2;
         const double wait = waitSeconds(load);
         const double slow = health.slowness(index);
         const bool isFar = table.at(index).dataCentre != table.here();
-        const double cost
-            = slow * (wait + decode + m_knobs.prefillWeight * prefillSeconds) * factor(m_random)
+        const double cost = slow * (wait + decode + m_parameters.prefillWeight * prefillSeconds)
+                * factor(m_random)
             + (isFar ? distance : 0);
         if (!best || cost < bestCost) {
             best = route{index, prefill, slow * (wait + decode + prefillSeconds)};
--- a/src/sched/router.h
+++ b/src/sched/router.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "sched/call.h"
-#include "sched/knobs.h"
 #include "sched/prefix_map.h"
 #include "sched/replica_health.h"
 #include "sched/replica_table.h"
+#include "sched/scheduler_parameters.h"
 
 #include <random>
 
@@ -24,8 +24,10 @@
 class router
 {
 public:
-    router(const sched_knobs &knobs, std::uint64_t seed) : m_knobs(knobs), m_random(seed) { }
-    void setKnobs(const sched_knobs &knobs) { m_knobs = knobs; }
+    router(const scheduler_parameters &knobs, std::uint64_t seed)
+        : m_parameters(knobs), m_random(seed)
+    { }
+    void setParameters(const scheduler_parameters &knobs) { m_parameters = knobs; }
 
     /// \param excluded a replica not to choose, after a failure there.
     /// \returns the route, or nothing when no replica of the service may take a call.
@@ -36,13 +38,13 @@
 
 private:
     void collect(const std::vector<replica_index> &from, std::size_t most);
-    void collectHolders(prefix_key prefix, const pending_call &call, const replica_table &table,
-                        const prefix_map &prefixes);
+    void addHolders(prefix_key prefix, const pending_call &call, const replica_table &table,
+                    const prefix_map &prefixes);
     double waitSeconds(const load_estimate &load) const;
     std::int64_t cachedTokens(const pending_call &call, replica_index index,
                               const prefix_map &prefixes) const;
 
-    sched_knobs m_knobs;
+    scheduler_parameters m_parameters;
     std::minstd_rand m_random;
     std::vector<replica_index> m_candidates;
 };
--- a/src/sched/scheduler.cpp
+++ b/src/sched/scheduler.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 /// Calls looked at when room comes free. Those behind them wait for the next time.
-constexpr int pumpScan = 32;
-constexpr std::size_t pressureSample = 32;
+constexpr int maxQueueScan = 32;
+constexpr std::size_t loadSample = 32;
 constexpr duration prefixAge = seconds(600);
 constexpr duration expiryInterval = seconds(30);
 constexpr double shortestEstimate = 0.2;
-constexpr int overdueCalls = 3;
+constexpr int minOverdueCalls = 3;
 constexpr double overdueFactor = 4;
 
 double toSeconds(duration d)
@@ -23,8 +23,8 @@
 
 } // namespace
 
-scheduler::scheduler(const sched_knobs &knobs, data_centre_id here, std::uint64_t seed)
-    : m_knobs(knobs), m_table(std::move(here)), m_router(knobs, seed), m_ledger(knobs),
+scheduler::scheduler(const scheduler_parameters &knobs, data_centre_id here, std::uint64_t seed)
+    : m_parameters(knobs), m_table(std::move(here)), m_router(knobs, seed), m_ledger(knobs),
       m_admission(knobs, seed + 1), m_retries(knobs, seed + 2)
 { }
 
@@ -53,7 +53,7 @@
     if (count == 0)
         return 0;
     // An even sample: a look at thousands of replicas would cost more than it tells.
-    const std::size_t step = std::max<std::size_t>(1, count / pressureSample);
+    const std::size_t step = std::max<std::size_t>(1, count / loadSample);
     double calls = 0;
     std::size_t looked = 0;
     for (std::size_t i = 0; i < count; i += step, ++looked) {
@@ -61,13 +61,13 @@
         calls += m_table.load(isNear ? group.near[i] : group.far[i - group.near.size()]).calls;
     }
     const double perReplica = calls / double(looked) + double(m_queue.size()) / double(count);
-    return perReplica / m_knobs.slotsPerReplica;
+    return perReplica / m_parameters.slotsPerReplica;
 }
 
 std::optional<duration> scheduler::refuseProgram(const program_request &request, time_point now)
 {
-    const admission_view view{pressure(request.service), m_ledger.excess(request.tenant, now),
-                              m_ledger.programs(request.tenant)};
+    const admission_state view{pressure(request.service), m_ledger.excess(request.tenant, now),
+                               m_ledger.programs(request.tenant)};
     return m_admission.refuse(request, view);
 }
 
@@ -90,16 +90,16 @@
         m_actions.emplace_back(release_prefix{m_table.at(index).id, prefix});
 }
 
-double scheduler::orderOf(const pending_call &call, time_point now) const
+double scheduler::queueOrder(const pending_call &call, time_point now) const
 {
     const double service = m_ledger.attained(call.program) / call.weight;
-    return toSeconds(now.time_since_epoch()) + m_knobs.orderPerService * service;
+    return toSeconds(now.time_since_epoch()) + m_parameters.delayPerServiceSecond * service;
 }
 
 void scheduler::submit(pending_call call, time_point now)
 {
     m_retries.onCall();
-    const double order = orderOf(call, now);
+    const double order = queueOrder(call, now);
     if (m_queue.empty() && place(call, order, now))
         return;
     m_queue.add(order, std::move(call));
@@ -149,13 +149,13 @@
     return index == noReplica ? std::nullopt : std::optional(m_table.at(index));
 }
 
-void scheduler::setKnobs(const sched_knobs &knobs)
+void scheduler::setParameters(const scheduler_parameters &knobs)
 {
-    m_knobs = knobs;
-    m_router.setKnobs(knobs);
-    m_ledger.setKnobs(knobs);
-    m_admission.setKnobs(knobs);
-    m_retries.setShare(knobs.retryShare);
+    m_parameters = knobs;
+    m_router.setParameters(knobs);
+    m_ledger.setParameters(knobs);
+    m_admission.setParameters(knobs);
+    m_retries.setShare(knobs.retryRatio);
 }
 
 void scheduler::retainPrograms(const std::function<bool(const program_id &)> &isUnderWay,
@@ -172,9 +172,9 @@
 
 bool scheduler::hasRoom(const pending_call &call, replica_index index) const
 {
-    const int most = m_knobs.slotsPerReplica + m_knobs.callsAhead;
+    const int most = m_parameters.slotsPerReplica + m_parameters.maxEngineQueue;
     const std::int64_t own = m_table.ownTokens(index);
-    const bool fits = own == 0 || own + call.promptTokens <= m_knobs.tokensInFlightPerReplica;
+    const bool fits = own == 0 || own + call.promptTokens <= m_parameters.tokensInFlightPerReplica;
     return fits && m_table.load(index).calls < most;
 }
 
@@ -208,7 +208,7 @@
 void scheduler::pump(time_point now)
 {
     int looked = 0;
-    for (auto it = m_queue.begin(); it != m_queue.end() && looked < pumpScan; ++looked)
+    for (auto it = m_queue.begin(); it != m_queue.end() && looked < maxQueueScan; ++looked)
         it = place(it->second, it->first.first, now) ? m_queue.erase(it) : std::next(it);
 }
 
@@ -231,7 +231,7 @@
         m_prefixes.drop(prefix, index);
     } else {
         const double took = toSeconds(now - sent.at);
-        m_health.onGoodEnd(index, took / std::max(sent.where.seconds, shortestEstimate), now);
+        m_health.onSuccess(index, took / std::max(sent.where.seconds, shortestEstimate), now);
         const std::int64_t prefill = end.cachedTokens ? sent.call.promptTokens - *end.cachedTokens
                                                       : sent.where.prefillTokens;
         m_ledger.charge(sent.call, prefill, end.outputTokens, now);
@@ -245,7 +245,7 @@
     return m_retries.take(ended, idempotent, attempt);
 }
 
-void scheduler::watchOverdue(time_point now)
+void scheduler::ejectOverdue(time_point now)
 {
     // A replica that became slow shows it at the ends of its calls, far too late. Several calls
     // that should have ended long ago show it at once; a single one may just have a long answer.
@@ -260,14 +260,14 @@
         ++calls;
     }
     for (const auto &[index, found] : overdue) {
-        if (found.first >= overdueCalls)
+        if (found.first >= minOverdueCalls)
             m_health.onOverdue(index, found.second, now);
     }
 }
 
 void scheduler::onTick(time_point now)
 {
-    watchOverdue(now);
+    ejectOverdue(now);
     if (now - m_expiredAt >= expiryInterval) {
         m_prefixes.expire(prefixAge, now);
         m_expiredAt = now;
--- a/src/sched/scheduler.h
+++ b/src/sched/scheduler.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "sched/admission.h"
+#include "sched/admission_controller.h"
 #include "sched/call_queue.h"
 #include "sched/prefix_map.h"
 #include "sched/replica_health.h"
@@ -20,7 +20,7 @@
 class scheduler
 {
 public:
-    scheduler(const sched_knobs &knobs, data_centre_id here, std::uint64_t seed);
+    scheduler(const scheduler_parameters &knobs, data_centre_id here, std::uint64_t seed);
 
     void setReplicas(const std::vector<replica> &listed, time_point now);
     void onReport(const upstream_id &id, const load_report &report, time_point now);
@@ -48,7 +48,7 @@
     std::vector<sched_action> takeActions();
 
     /// \brief Takes over what a new preset says.
-    void setKnobs(const sched_knobs &knobs);
+    void setParameters(const scheduler_parameters &knobs);
     /// \brief Ends the programs for which \p isUnderWay says no, such as those that moved away.
     void retainPrograms(const std::function<bool(const program_id &)> &isUnderWay, time_point now);
     std::optional<replica> findReplica(const upstream_id &id) const;
@@ -74,10 +74,10 @@
     bool place(const pending_call &call, double order, time_point now);
     bool hasRoom(const pending_call &call, replica_index index) const;
     void pump(time_point now);
-    void watchOverdue(time_point now);
-    double orderOf(const pending_call &call, time_point now) const;
+    void ejectOverdue(time_point now);
+    double queueOrder(const pending_call &call, time_point now) const;
 
-    sched_knobs m_knobs;
+    scheduler_parameters m_parameters;
     replica_table m_table;
     prefix_map m_prefixes;
     replica_health m_health;
--- a/src/sched/knobs.h
+++ b/src/sched/scheduler_parameters.h
@@ -7,7 +7,7 @@
 namespace azurehill {
 
 /// \brief What the presets and the bench may turn. docs/SCHEDULING.md says how each was set.
-struct sched_knobs
+struct scheduler_parameters
 {
     /// Engine rates that estimates start from; each replica's slowness is learnt.
     double prefillTokensPerSecond = 6000;
@@ -15,7 +15,7 @@
     int slotsPerReplica = 16;
 
     /// Calls that may wait at an engine on top of those in its batch.
-    int callsAhead = 4;
+    int maxEngineQueue = 4;
     std::int64_t tokensInFlightPerReplica = 200'000;
     /// Weight of prefill against waiting: prefill delays the others on the replica, too.
     double prefillWeight = 24;
@@ -25,16 +25,16 @@
     duration distance = milliseconds(3);
 
     /// Seconds that a call goes back in the order for each second of service of its program.
-    double orderPerService = 20;
+    double delayPerServiceSecond = 20;
 
     /// Calls per slot from which new programs are refused.
-    double fullPressure = 1.0;
+    double maxCallsPerSlot = 1.0;
     /// Calls per slot from which tenants above their share are refused.
-    double sharePressure = 0.45;
+    double fairShareCallsPerSlot = 0.45;
     /// Part of the recent service above its share from which a tenant counts as such.
-    double notableExcess = 0.15;
+    double shareExcessTolerance = 0.15;
     /// Retries as a share of the calls.
-    double retryShare = 0.1;
+    double retryRatio = 0.1;
 };
 
 } // namespace azurehill
--- a/src/sched/service_ledger.cpp
+++ b/src/sched/service_ledger.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr double usageSeconds = 30;
-constexpr double outputWeight = 0.02;
+constexpr double usageDecaySeconds = 30;
+constexpr double outputSmoothing = 0.02;
 /// Less recent service than this is no sign of a tenant that takes part in the contention.
-constexpr double idleUsage = 0.05;
+constexpr double minActiveUsage = 0.05;
 
 } // namespace
 
 void service_ledger::startProgram(const program_id &id, const tenant_id &tenant, double weight)
 {
-    family &f = m_families[rootOf(id)];
+    family &f = m_programTrees[rootOf(id)];
     f.tenant = tenant;
     ++f.members;
     tenant_usage &usage = m_tenants[tenant];
@@ -26,31 +26,31 @@
 
 void service_ledger::endProgram(const program_id &id)
 {
-    const auto it = m_families.find(rootOf(id));
-    if (it == m_families.end())
+    const auto it = m_programTrees.find(rootOf(id));
+    if (it == m_programTrees.end())
         return;
     --m_tenants[it->second.tenant].programs;
     if (--it->second.members == 0)
-        m_families.erase(it);
+        m_programTrees.erase(it);
 }
 
 double service_ledger::decayed(const tenant_usage &usage, time_point now)
 {
     const double age = std::chrono::duration<double>(now - usage.at).count();
-    return usage.recent * std::exp(-std::max(age, 0.0) / usageSeconds);
+    return usage.recent * std::exp(-std::max(age, 0.0) / usageDecaySeconds);
 }
 
 void service_ledger::charge(const pending_call &call, std::int64_t prefillTokens,
                             std::int64_t outputTokens, time_point now)
 {
-    const double perOutput = m_knobs.secondsPerOutputToken / m_knobs.slotsPerReplica;
-    const double service
-        = double(prefillTokens) / m_knobs.prefillTokensPerSecond + double(outputTokens) * perOutput;
+    const double perOutput = m_parameters.secondsPerOutputToken / m_parameters.slotsPerReplica;
+    const double service = double(prefillTokens) / m_parameters.prefillTokensPerSecond
+        + double(outputTokens) * perOutput;
     tenant_usage &usage = m_tenants[call.tenant];
     usage.recent = decayed(usage, now) + service;
     usage.at = now;
-    m_typicalOutput += outputWeight * (double(outputTokens) - m_typicalOutput);
-    if (const auto it = m_families.find(rootOf(call.program)); it != m_families.end()) {
+    m_averageOutputTokens += outputSmoothing * (double(outputTokens) - m_averageOutputTokens);
+    if (const auto it = m_programTrees.find(rootOf(call.program)); it != m_programTrees.end()) {
         it->second.service += service;
         it->second.output += double(outputTokens);
         ++it->second.calls;
@@ -59,8 +59,8 @@
 
 double service_ledger::attained(const program_id &id) const
 {
-    const auto it = m_families.find(rootOf(id));
-    return it == m_families.end() ? 0 : it->second.service;
+    const auto it = m_programTrees.find(rootOf(id));
+    return it == m_programTrees.end() ? 0 : it->second.service;
 }
 
 double service_ledger::excess(const tenant_id &tenant, time_point now) const
@@ -69,7 +69,7 @@
     double weights = 0;
     for (const auto &[id, usage] : m_tenants) {
         const double recent = decayed(usage, now);
-        if (recent < idleUsage && usage.programs == 0)
+        if (recent < minActiveUsage && usage.programs == 0)
             continue;
         all += recent;
         weights += usage.weight;
@@ -88,10 +88,10 @@
 
 double service_ledger::expectedOutput(const program_id &id) const
 {
-    const auto it = m_families.find(rootOf(id));
-    if (it == m_families.end() || it->second.calls == 0)
-        return m_typicalOutput;
-    return (it->second.output + m_typicalOutput) / (it->second.calls + 1);
+    const auto it = m_programTrees.find(rootOf(id));
+    if (it == m_programTrees.end() || it->second.calls == 0)
+        return m_averageOutputTokens;
+    return (it->second.output + m_averageOutputTokens) / (it->second.calls + 1);
 }
 
 } // namespace azurehill
--- a/src/sched/service_ledger.h
+++ b/src/sched/service_ledger.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "sched/call.h"
-#include "sched/knobs.h"
+#include "sched/scheduler_parameters.h"
 
 #include <unordered_map>
 
@@ -11,8 +11,8 @@
 class service_ledger
 {
 public:
-    explicit service_ledger(const sched_knobs &knobs) : m_knobs(knobs) { }
-    void setKnobs(const sched_knobs &knobs) { m_knobs = knobs; }
+    explicit service_ledger(const scheduler_parameters &knobs) : m_parameters(knobs) { }
+    void setParameters(const scheduler_parameters &knobs) { m_parameters = knobs; }
 
     void startProgram(const program_id &id, const tenant_id &tenant, double weight);
     void endProgram(const program_id &id);
@@ -48,10 +48,10 @@
 
     static double decayed(const tenant_usage &usage, time_point now);
 
-    sched_knobs m_knobs;
-    std::unordered_map<program_id, family> m_families;
+    scheduler_parameters m_parameters;
+    std::unordered_map<program_id, family> m_programTrees;
     std::unordered_map<tenant_id, tenant_usage> m_tenants;
-    double m_typicalOutput = 200;
+    double m_averageOutputTokens = 200;
 };
 
 } // namespace azurehill
--- a/src/store/paced_store.cpp
+++ b/src/store/paced_store.cpp
@@ -12,14 +12,14 @@
 
 /// Pause before a read that was refused as beyond the store's rate is made again. Reads are three
 /// times as many as writes there, so this is rare.
-constexpr duration readPause = milliseconds(30);
+constexpr duration readRetryDelay = milliseconds(30);
 
-store_error givenUp()
+store_error queueTimeoutError()
 {
     return {store_error_kind::Refused, "waited too long for its turn to be written", {}};
 }
 
-store_error inDoubt()
+store_error unknownOutcomeError()
 {
     return {store_error_kind::Unknown, "no answer in time", {}};
 }
@@ -81,7 +81,7 @@
             continue;
         // Once it went, others may still wait for the call, and this write may take effect.
         const bool isCertain = m_queue.withdraw(number);
-        pending->result = tl::unexpected(isCertain ? givenUp() : inDoubt());
+        pending->result = tl::unexpected(isCertain ? queueTimeoutError() : unknownOutcomeError());
     }
     m_pending.erase(number);
     co_return std::move(*pending->result);
@@ -92,18 +92,18 @@
     while (auto batch = m_queue.take(runtime_clock::now())) {
         spawn(m_executor, "sendWrites", send(std::move(*batch)));
     }
-    if (m_queue.waiting() > 0 && !m_isPumpWaiting) {
-        m_isPumpWaiting = true;
-        spawn(m_executor, "pumpLater", pumpLater());
+    if (m_queue.waiting() > 0 && !m_isDispatchScheduled) {
+        m_isDispatchScheduled = true;
+        spawn(m_executor, "pumpLater", dispatchWaitingLater());
     }
 }
 
-awaitable<void> paced_store::pumpLater()
+awaitable<void> paced_store::dispatchWaitingLater()
 {
-    const auto next = m_queue.nextAt();
+    const auto next = m_queue.nextBatchAt();
     if (next)
         co_await sleepFor(std::max<duration>(milliseconds(1), *next - runtime_clock::now()));
-    m_isPumpWaiting = false;
+    m_isDispatchScheduled = false;
     pump();
 }
 
@@ -128,7 +128,7 @@
         if (!m_pending.contains(number))
             continue; // given up meanwhile
         if (isLimited) {
-            putBack(number);
+            requeue(number);
             continue;
         }
         if (!isConflict || batch.members.size() == 1) {
@@ -139,18 +139,18 @@
         const store_transaction &own = m_pending.at(number)->transaction;
         const std::vector<stored_row> rows = rowsOf(own, result.error().current);
         if (holds(own, rows))
-            putBack(number);
+            requeue(number);
         else
             finish(number,
                    tl::unexpected(store_error{store_error_kind::Conflict, "conflict", rows}));
     }
 }
 
-void paced_store::putBack(std::uint64_t number)
+void paced_store::requeue(std::uint64_t number)
 {
     const pending_ptr pending = m_pending.at(number);
     if (runtime_clock::now() >= pending->deadline) {
-        finish(number, tl::unexpected(givenUp()));
+        finish(number, tl::unexpected(queueTimeoutError()));
         return;
     }
     m_queue.add(number, pending->transaction, pending->deadline);
@@ -169,9 +169,9 @@
         row_range copy = range;
         auto page = co_await m_inner.read(std::move(copy), deadline);
         const bool isLimited = !page && page.error().kind == store_error_kind::Limited;
-        if (!isLimited || runtime_clock::now() + readPause >= deadline)
+        if (!isLimited || runtime_clock::now() + readRetryDelay >= deadline)
             co_return page;
-        co_await sleepFor(readPause);
+        co_await sleepFor(readRetryDelay);
     }
 }
 
--- a/src/store/paced_store.h
+++ b/src/store/paced_store.h
@@ -49,10 +49,10 @@
 
     /// \brief Sends what may go, and sees to it that the rest goes when it may.
     void pump();
-    awaitable<void> pumpLater();
+    awaitable<void> dispatchWaitingLater();
     awaitable<void> send(write_batch batch);
     void settle(const write_batch &batch, const store_result<store_version> &result);
-    void putBack(std::uint64_t number);
+    void requeue(std::uint64_t number);
     void finish(std::uint64_t number, store_result<store_version> result);
 
     asio::any_io_executor m_executor;
@@ -61,7 +61,7 @@
     write_queue m_queue;
     std::map<std::uint64_t, pending_ptr> m_pending;
     std::uint64_t m_lastNumber = 0;
-    bool m_isPumpWaiting = false;
+    bool m_isDispatchScheduled = false;
 };
 
 } // namespace azurehill
--- a/src/turns/row_janitor.h
+++ b/src/turns/row_retention_tracker.h
@@ -13,18 +13,18 @@
 /// The store forgets nothing by itself. The daemon that added a program's last turn removes the
 /// program's rows once the retention of that turn is over; a row of a later version tells that
 /// another daemon added a turn later, which then is that daemon's to remove.
-class row_janitor
+class row_retention_tracker
 {
 public:
     /// \brief A turn of \p program was added; its rows are needed until \p until.
     /// \param version of the rows that were written with that turn.
-    void onAdded(const program_id &program, const turn_id &id, store_version version,
-                 time_point until);
+    void onTurnAdded(const program_id &program, const turn_id &id, store_version version,
+                     time_point until);
     /// \brief The account of \p program changed and no turn was added.
-    void onChanged(const program_id &program, store_version version, time_point until);
+    void onAccountChanged(const program_id &program, store_version version, time_point until);
 
     /// \brief Programs whose rows may go, and the turns that this daemon added to them.
-    struct due_program
+    struct expired_program
     {
         program_id program;
         /// Version of the newest rows that this daemon wrote with a turn.
@@ -32,7 +32,7 @@
         std::vector<turn_id> turns;
     };
     /// \returns up to \p most programs that are due at \p now, and forgets them.
-    std::vector<due_program> takeDue(time_point now, std::size_t most);
+    std::vector<expired_program> takeExpired(time_point now, std::size_t most);
     std::size_t size() const { return m_programs.size(); }
 
 private:
--- a/src/turns/store_calls.h
+++ b/src/turns/store_calls.h
@@ -13,11 +13,11 @@
 constexpr duration callTime = milliseconds(800);
 /// Pause before a call that failed is made again; doubled each time, since hundreds of turns may
 /// wait for the same outage to end and the store's calls are limited.
-constexpr duration leastPause = milliseconds(40);
-constexpr duration mostPause = milliseconds(640);
+constexpr duration minStoreRetryDelay = milliseconds(40);
+constexpr duration maxStoreRetryDelay = milliseconds(640);
 
 /// \returns when one call has to be answered whose caller waits until \p deadline.
-inline time_point callDeadline(time_point deadline)
+inline time_point storeAttemptDeadline(time_point deadline)
 {
     return std::min(deadline, runtime_clock::now() + callTime);
 }
--- a/src/turns/token_account.cpp
+++ b/src/turns/token_account.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t mostTokens = 1'000'000'000'000'000;
 
 /// \returns the number in \p value. \throws if it is none that an account can have.
-std::int64_t tokensIn(const json::value &value)
+std::int64_t parseTokens(const json::value &value)
 {
     const auto tokens = value.to_number<std::int64_t>();
     if (tokens < 0 || tokens > mostTokens)
@@ -50,9 +50,9 @@
     try {
         const json::value document = json::parse(text);
         token_account account;
-        account.spent = tokensIn(document.at("spent"));
+        account.spent = parseTokens(document.at("spent"));
         for (const auto &[id, tokens] : document.at("holds").as_object())
-            account.holds[id] = tokensIn(tokens);
+            account.holds[id] = parseTokens(tokens);
         account.finishUnixMs = document.at("finish").to_number<std::int64_t>();
         account.aimMs = document.at("aim").to_number<std::int64_t>();
         return account;
