--- a/src/turns/turn.cpp
+++ b/src/turns/turn.cpp
@@ -56,7 +56,7 @@
     head["program"] = t.program.value;
     head["previous"] = t.previous ? t.previous->id.value : std::string();
     head["replica"] = t.replica.id.value;
-    head["replica_born"] = t.replica.bornUnixMs;
+    head["replica_born"] = t.replica.startedUnixMs;
     head["tokens"] = t.tokens;
     if (t.account)
         head["account"] = t.account->value;
@@ -92,7 +92,7 @@
 }
 
 /// \returns the account that \p head names, if it names one.
-std::optional<account_id> decodeOwner(const json::object &head)
+std::optional<account_id> decodeAccountId(const json::object &head)
 {
     const json::value *name = head.if_contains("account");
     if (!name)
@@ -123,7 +123,7 @@
         result.value.replica = decodeReplica(head);
         result.value.tokens = head.at("tokens").to_number<std::int64_t>();
         result.value.used = decodeUsed(head);
-        result.value.account = decodeOwner(head);
+        result.value.account = decodeAccountId(head);
         result.value.input = bytes.substr(0, inputSize);
         result.value.output = bytes.substr(inputSize);
         result.previous = {text("previous")};
--- a/src/turns/turn_cache.cpp
+++ b/src/turns/turn_cache.cpp
@@ -19,7 +19,7 @@
     const auto found = m_entries.find(id);
     if (found == m_entries.end())
         return nullptr;
-    m_byAge.splice(m_byAge.end(), m_byAge, found->second.age);
+    m_lruOrder.splice(m_lruOrder.end(), m_lruOrder, found->second.age);
     return found->second.value;
 }
 
@@ -27,11 +27,11 @@
 {
     if (const auto old = m_entries.find(t->id); old != m_entries.end())
         erase(old);
-    m_byAge.push_back(t->id);
-    m_entries[t->id] = {t, until, std::prev(m_byAge.end())};
+    m_lruOrder.push_back(t->id);
+    m_entries[t->id] = {t, until, std::prev(m_lruOrder.end())};
     m_bytes += sizeOf(*t);
     while (m_bytes > m_maxBytes && m_entries.size() > 1)
-        erase(m_entries.find(m_byAge.front()));
+        erase(m_entries.find(m_lruOrder.front()));
 }
 
 void turn_cache::expire(time_point now)
@@ -47,7 +47,7 @@
 void turn_cache::erase(std::unordered_map<turn_id, entry>::iterator it)
 {
     m_bytes -= sizeOf(*it->second.value);
-    m_byAge.erase(it->second.age);
+    m_lruOrder.erase(it->second.age);
     m_entries.erase(it);
 }
 
--- a/src/turns/turn_cache.h
+++ b/src/turns/turn_cache.h
@@ -35,7 +35,7 @@
     std::size_t m_bytes = 0;
     std::unordered_map<turn_id, entry> m_entries;
     /// The one not used for longest at the front.
-    std::list<turn_id> m_byAge;
+    std::list<turn_id> m_lruOrder;
 };
 
 } // namespace azurehill
--- a/src/turns/turn_ledger.cpp
+++ b/src/turns/turn_ledger.cpp
@@ -16,7 +16,7 @@
 /// A transaction may carry 1 MB, a third of which base64 takes.
 constexpr std::size_t maxTransactionBytes = 700U << 10U;
 /// Accounts that were not used for this long are read again from the store.
-constexpr duration accountMemory = seconds(90);
+constexpr duration accountCacheRetention = seconds(90);
 /// Rows stay this much longer than a turn has to be kept: clocks and answers lag.
 constexpr duration removalMargin = seconds(10);
 
@@ -37,11 +37,11 @@
 
 } // namespace
 
-struct turn_ledger::account_step
+struct turn_ledger::account_change
 {
-    enum class step_kind { Reserve, Commit, Settle };
+    enum class change_kind { Reserve, Commit, Settle };
 
-    step_kind kind = step_kind::Reserve;
+    change_kind kind = change_kind::Reserve;
     turn_claim claim;
     std::int64_t used = 0;
     /// The turn that a commit adds.
@@ -50,28 +50,28 @@
     /// on its way, and only a newer version makes its condition fail.
     bool always = false;
     /// Where the version of the written rows goes, if anybody wants it.
-    store_version *writtenAs = nullptr;
+    store_version *writtenVersion = nullptr;
 
     write_urgency urgency() const
     {
-        if (kind == step_kind::Reserve)
+        if (kind == change_kind::Reserve)
             return write_urgency::Begin;
-        return kind == step_kind::Commit ? write_urgency::End : write_urgency::Upkeep;
+        return kind == change_kind::Commit ? write_urgency::End : write_urgency::Upkeep;
     }
 
     /// \returns whether \p account shows that the step took effect.
     bool isDone(const token_account &account) const
     {
         const bool isHeld = account.holds.contains(claim.id.value);
-        if (kind == step_kind::Reserve)
+        if (kind == change_kind::Reserve)
             return isHeld;
-        return kind == step_kind::Settle && !isHeld && !always;
+        return kind == change_kind::Settle && !isHeld && !always;
     }
 
     /// \returns \p account after the step, or nothing if the budget does not allow it.
     std::optional<token_account> apply(const token_account &account) const
     {
-        if (kind == step_kind::Reserve) {
+        if (kind == change_kind::Reserve) {
             auto held = hold(account, claim.id, claim.most, claim.budget);
             if (held && held->finishUnixMs == 0 && claim.finish) {
                 held->finishUnixMs = unixMilliseconds() + toMilliseconds(*claim.finish);
@@ -96,13 +96,13 @@
     return state;
 }
 
-program_times turn_ledger::timesOf(const program_id &program) const
+program_timing turn_ledger::timingOf(const program_id &program) const
 {
     const auto found = m_accounts.find(program);
     if (found == m_accounts.end() || found->second->account.finishUnixMs == 0)
         return {};
     const token_account &account = found->second->account;
-    program_times times;
+    program_timing times;
     times.left = milliseconds(account.finishUnixMs - unixMilliseconds());
     if (account.aimMs > 0)
         times.aim = milliseconds(account.aimMs);
@@ -122,15 +122,15 @@
     m_cache.expire(now);
     std::erase_if(m_accounts, [now](const auto &item) {
         return !item.second->busy && item.second.use_count() == 1
-            && item.second->usedAt + accountMemory < now;
+            && item.second->usedAt + accountCacheRetention < now;
     });
 }
 
-void turn_ledger::adoptAccount(account_state &state, const std::vector<stored_row> &rows)
+void turn_ledger::updateAccount(account_state &state, const std::vector<stored_row> &rows)
 {
     for (const stored_row &row : rows) {
         // Versions never go back: an answer may be older than what is known here.
-        if (!turn_rows::isAccount(row.name) || row.deleted || row.version <= state.version)
+        if (!turn_rows::isAccountRow(row.name) || row.deleted || row.version <= state.version)
             continue;
         auto account = decodeAccount(row.value);
         state.isUnreadable = !account;
@@ -144,7 +144,8 @@
     }
 }
 
-void turn_ledger::adoptEnded(account_state &state, const std::map<turn_id, decoded_turn> &turns)
+void turn_ledger::recordEndedTurns(account_state &state,
+                                   const std::map<turn_id, decoded_turn> &turns)
 {
     for (const auto &[id, decoded] : turns) {
         if (decoded.value.used)
@@ -152,7 +153,7 @@
     }
 }
 
-void turn_ledger::settleEnded(account_state &state)
+void turn_ledger::settleEndedTurns(account_state &state)
 {
     for (const auto &[id, used] : state.ended) {
         if (state.account.holds.contains(id.value))
@@ -168,14 +169,14 @@
         co_return tl::unexpected(turn_refusal::BudgetSpent);
     if (!m_store.isReachable())
         co_return tl::unexpected(turn_refusal::StoreUnavailable);
-    account_step step;
-    step.kind = account_step::step_kind::Reserve;
+    account_change step;
+    step.kind = account_change::change_kind::Reserve;
     step.claim = claim;
     store_version version = 0;
-    step.writtenAs = &version;
+    step.writtenVersion = &version;
     const auto held = co_await apply(std::move(state), std::move(step), deadline);
     if (held)
-        noteChanged(claim, version);
+        extendRetention(claim, version);
     co_return held;
 }
 
@@ -186,28 +187,28 @@
     const auto t = std::make_shared<turn>(*answered);
     t->used = used;
     account_ptr state = accountOf(t->program);
-    account_step step;
-    step.kind = account_step::step_kind::Commit;
+    account_change step;
+    step.kind = account_change::change_kind::Commit;
     step.claim.id = t->id;
     step.claim.program = t->program;
     step.used = used;
     step.added = t;
     if (!m_settings.spansParts) {
-        const bool indexed = co_await indexFirst(t, deadline);
+        const bool indexed = co_await writeIndexRow(t, deadline);
         if (!indexed)
             co_return tl::unexpected(turn_refusal::StoreUnavailable);
     }
     store_version version = 0;
-    step.writtenAs = &version;
+    step.writtenVersion = &version;
     tl::expected<void, turn_refusal> done;
     if (state->account.holds.contains(t->id.value))
-        done = co_await addHeld(state, std::move(step), deadline);
+        done = co_await commitHeldTurn(state, std::move(step), deadline);
     else
         done = co_await apply(state, std::move(step), deadline);
     if (done) {
         const time_point until = runtime_clock::now() + retention;
         m_cache.insert(t, until);
-        m_janitor.onAdded(t->program, t->id, version, until + removalMargin);
+        m_rowRetention.onTurnAdded(t->program, t->id, version, until + removalMargin);
     }
     co_return done;
 }
@@ -225,20 +226,21 @@
         co_await sleepFor(lookPause);
 }
 
-awaitable<bool> turn_ledger::indexFirst(turn_ptr t, time_point deadline)
+awaitable<bool> turn_ledger::writeIndexRow(turn_ptr t, time_point deadline)
 {
     // Before the turn itself: a turn that is there and can't be found would be lost, while an entry
     // without its turn only costs a read.
-    duration pause = leastPause;
+    duration pause = minStoreRetryDelay;
     while (runtime_clock::now() < deadline) {
         store_transaction entry;
         entry.urgency = write_urgency::End;
         entry.writes.push_back({turn_rows::index(t->id), t->program.value});
-        const auto version = co_await m_store.transact(std::move(entry), callDeadline(deadline));
+        const auto version
+            = co_await m_store.transact(std::move(entry), storeAttemptDeadline(deadline));
         if (version)
             co_return true;
         co_await waitToRetry(pause, deadline);
-        pause = std::min(2 * pause, mostPause);
+        pause = std::min(2 * pause, maxStoreRetryDelay);
     }
     co_return false;
 }
@@ -248,36 +250,37 @@
     if (!m_store.isReachable())
         co_return false;
     account_ptr state = accountOf(program);
-    co_return co_await refreshAccount(std::move(state), std::move(program), callDeadline(deadline));
+    co_return co_await refreshAccount(std::move(state), std::move(program),
+                                      storeAttemptDeadline(deadline));
 }
 
-bool turn_ledger::mayStayHeld(const turn_claim &claim) const
+bool turn_ledger::mayKeepHold(const turn_claim &claim) const
 {
     return 2 * accountView(claim.program).committed <= claim.budget;
 }
 
-void turn_ledger::noteChanged(const turn_claim &claim, store_version version)
+void turn_ledger::extendRetention(const turn_claim &claim, store_version version)
 {
     if (claim.retention == duration::zero())
         return;
     const time_point until = runtime_clock::now() + claim.retention + removalMargin;
-    m_janitor.onChanged(claim.program, version, until);
+    m_rowRetention.onAccountChanged(claim.program, version, until);
 }
 
 awaitable<void> turn_ledger::settleHold(turn_claim claim, std::int64_t used)
 {
     account_ptr state = accountOf(claim.program);
-    account_step step;
-    step.kind = account_step::step_kind::Settle;
+    account_change step;
+    step.kind = account_change::change_kind::Settle;
     step.claim = claim;
     step.used = used;
     step.always = used == 0;
     store_version version = 0;
-    step.writtenAs = &version;
+    step.writtenVersion = &version;
     const auto done
         = co_await apply(std::move(state), std::move(step), runtime_clock::now() + settleTime);
     if (done)
-        noteChanged(claim, version);
+        extendRetention(claim, version);
     if (!done) {
         logDecision(log_event::HoldNotSettled,
                     {{"request", claim.id.value},
@@ -302,20 +305,20 @@
     co_return !state->busy;
 }
 
-awaitable<tl::expected<void, turn_refusal>> turn_ledger::apply(account_ptr state, account_step step,
-                                                               time_point deadline)
+awaitable<tl::expected<void, turn_refusal>>
+turn_ledger::apply(account_ptr state, account_change step, time_point deadline)
 {
     const bool isFree = co_await waitForAccount(state, deadline);
     if (!isFree)
         co_return tl::unexpected(turn_refusal::StoreUnavailable);
     state->busy = true;
-    const auto done = co_await applyAlone(state, std::move(step), deadline);
+    const auto done = co_await applyExclusively(state, std::move(step), deadline);
     state->busy = false;
     state->freed->notifyAll();
     co_return done;
 }
 
-store_transaction turn_ledger::transactionOf(const account_state &state, const account_step &step,
+store_transaction turn_ledger::transactionOf(const account_state &state, const account_change &step,
                                              const token_account &next) const
 {
     const row_name accountRow = turn_rows::account(step.claim.program);
@@ -325,15 +328,15 @@
     t.writes.push_back({accountRow, encodeAccount(next)});
     if (!step.added)
         return t;
-    addPieces(t, state, step);
+    addTurnRows(t, state, step);
     return t;
 }
 
-void turn_ledger::addPieces(store_transaction &t, const account_state &state,
-                            const account_step &step) const
+void turn_ledger::addTurnRows(store_transaction &t, const account_state &state,
+                              const account_change &step) const
 {
     // The same turn must not be added twice by a try whose answer was lost.
-    t.conditions.push_back({turn_rows::firstPiece(step.claim.program, step.claim.id), 0});
+    t.conditions.push_back({turn_rows::firstChunk(step.claim.program, step.claim.id), 0});
     for (const turn_ptr &one : chainOf(step.added)) {
         // A turn of another program is copied, so that a part holds whole chains. So is one whose
         // rows were removed with the program's part before this daemon began it anew.
@@ -349,40 +352,41 @@
 }
 
 awaitable<tl::expected<void, turn_refusal>>
-turn_ledger::addHeld(account_ptr state, account_step step, time_point deadline)
+turn_ledger::commitHeldTurn(account_ptr state, account_change step, time_point deadline)
 {
     // The account is changed by every turn of the program that begins meanwhile, on any daemon. An
     // end that depended on it failed at every fourth try (62 hosts, four turns in ten with others
     // of their program beside them), and sent all writes that shared its call again. Whoever
     // changes the account next sees the turn's row and charges what it used in place of what is
     // held.
-    duration pause = leastPause;
+    duration pause = minStoreRetryDelay;
     while (runtime_clock::now() < deadline) {
         store_transaction t;
         t.urgency = step.urgency();
-        addPieces(t, *state, step);
+        addTurnRows(t, *state, step);
         if (bytesOf(t) > maxTransactionBytes)
             co_return tl::unexpected(turn_refusal::TooLarge);
-        const auto version = co_await m_store.transact(std::move(t), callDeadline(deadline));
+        const auto version
+            = co_await m_store.transact(std::move(t), storeAttemptDeadline(deadline));
         // A conflict: an earlier try took effect.
         if (version || version.error().kind == store_error_kind::Conflict) {
             if (version)
-                *step.writtenAs = *version;
+                *step.writtenVersion = *version;
             else
-                *step.writtenAs = versionOf(version.error().current);
-            noteStored(*state, step);
+                *step.writtenVersion = versionOf(version.error().current);
+            recordStoredTurns(*state, step);
             state->ended.insert_or_assign(step.claim.id, step.used);
             if (!state->busy)
-                settleEnded(*state);
+                settleEndedTurns(*state);
             co_return tl::expected<void, turn_refusal>();
         }
         co_await waitToRetry(pause, deadline);
-        pause = std::min(2 * pause, mostPause);
+        pause = std::min(2 * pause, maxStoreRetryDelay);
     }
     co_return tl::unexpected(turn_refusal::StoreUnavailable);
 }
 
-void turn_ledger::noteStored(account_state &state, const account_step &step)
+void turn_ledger::recordStoredTurns(account_state &state, const account_change &step)
 {
     if (!state.stored || !step.added)
         return;
@@ -390,12 +394,12 @@
         state.stored->insert(one->id);
 }
 
-void turn_ledger::adoptStep(account_state &state, const account_step &step, token_account next,
-                            store_version version)
+void turn_ledger::onChangeCommitted(account_state &state, const account_change &step,
+                                    token_account next, store_version version)
 {
     if (state.version == 0)
         state.stored.emplace();
-    noteStored(state, step);
+    recordStoredTurns(state, step);
     state.account = std::move(next);
     state.version = version;
 }
@@ -404,31 +408,31 @@
                                             time_point deadline)
 {
     // With the turns: those that ended are charged less than what is held for them.
-    row_range range = turn_rows::ofProgram(program);
+    row_range range = turn_rows::programRange(program);
     const auto page = co_await m_store.read(std::move(range), deadline);
     if (!page)
         co_return false;
-    adoptEnded(*state, turn_rows::readTurns(page->rows));
-    adoptAccount(*state, page->rows);
+    recordEndedTurns(*state, turn_rows::readTurns(page->rows));
+    updateAccount(*state, page->rows);
     co_return true;
 }
 
 awaitable<tl::expected<void, turn_refusal>>
-turn_ledger::applyAlone(account_ptr state, account_step step, time_point deadline)
+turn_ledger::applyExclusively(account_ptr state, account_change step, time_point deadline)
 {
     auto unavailable = tl::unexpected(turn_refusal::StoreUnavailable);
-    const bool isReserve = step.kind == account_step::step_kind::Reserve;
+    const bool isReserve = step.kind == account_change::change_kind::Reserve;
     const row_name accountRow = turn_rows::account(step.claim.program);
-    const row_name firstPiece = turn_rows::firstPiece(step.claim.program, step.claim.id);
+    const row_name firstChunk = turn_rows::firstChunk(step.claim.program, step.claim.id);
     bool isFresh = false;
-    duration pause = leastPause;
+    duration pause = minStoreRetryDelay;
     state->isUnreadable = false;
     while (runtime_clock::now() < deadline) {
         // Nobody knows what the program has spent, so it must get neither a fresh budget nor a
         // refusal for good. Asking again would only show the same row.
         if (state->isUnreadable)
             co_return unavailable;
-        settleEnded(*state);
+        settleEndedTurns(*state);
         if (step.isDone(state->account))
             co_return tl::expected<void, turn_refusal>();
         const auto next = step.apply(state->account);
@@ -436,7 +440,8 @@
             co_return tl::unexpected(turn_refusal::BudgetSpent);
         if (!next) {
             // What is known here may be old: only the store's own row may refuse a turn.
-            isFresh = co_await refreshAccount(state, step.claim.program, callDeadline(deadline));
+            isFresh = co_await refreshAccount(state, step.claim.program,
+                                              storeAttemptDeadline(deadline));
             if (!isFresh && !m_store.isReachable())
                 co_return unavailable;
             if (!isFresh)
@@ -449,17 +454,19 @@
             co_return tl::unexpected(turn_refusal::TooLarge);
         if (isTooLarge) {
             // An account that is not known here may be there: then its part holds the chain.
-            isFresh = co_await refreshAccount(state, step.claim.program, callDeadline(deadline));
+            isFresh = co_await refreshAccount(state, step.claim.program,
+                                              storeAttemptDeadline(deadline));
             if (!isFresh)
                 co_await sleepFor(pause);
             continue;
         }
-        const auto version = co_await m_store.transact(std::move(t), callDeadline(deadline));
+        const auto version
+            = co_await m_store.transact(std::move(t), storeAttemptDeadline(deadline));
         if (version) {
-            adoptStep(*state, step, *next, *version);
-            settleEnded(*state);
-            if (step.writtenAs)
-                *step.writtenAs = *version;
+            onChangeCommitted(*state, step, *next, *version);
+            settleEndedTurns(*state);
+            if (step.writtenVersion)
+                *step.writtenVersion = *version;
             co_return tl::expected<void, turn_refusal>();
         }
         if (version.error().kind == store_error_kind::Conflict) {
@@ -469,9 +476,9 @@
                 state->account = {};
                 state->version = 0;
             }
-            adoptAccount(*state, version.error().current);
-            if (step.added && findRow(version.error().current, firstPiece)) {
-                *step.writtenAs = versionOf(version.error().current);
+            updateAccount(*state, version.error().current);
+            if (step.added && findRow(version.error().current, firstChunk)) {
+                *step.writtenVersion = versionOf(version.error().current);
                 co_return tl::expected<void, turn_refusal>(); // an earlier try took effect
             }
             continue;
@@ -482,7 +489,7 @@
         if (isReserve && !m_store.isReachable())
             co_return unavailable;
         co_await waitToRetry(pause, deadline);
-        pause = std::min(2 * pause, mostPause);
+        pause = std::min(2 * pause, maxStoreRetryDelay);
     }
     co_return unavailable;
 }
--- a/src/turns/turn_ledger.h
+++ b/src/turns/turn_ledger.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "rows/unreadable_rows.h"
+#include "rows/unreadable_row_log.h"
 #include "runtime/runtime.h"
 #include "store/store.h"
-#include "turns/row_janitor.h"
+#include "turns/row_retention_tracker.h"
 #include "turns/token_account.h"
 #include "turns/turn_cache.h"
 
@@ -38,7 +38,7 @@
 };
 
 /// \brief Where the search for a turn ended without telling whether it exists.
-enum class load_step {
+enum class load_failure {
     /// The store was not asked, since its last calls failed.
     Unreachable,
     /// A read failed.
@@ -52,7 +52,7 @@
 };
 
 template <>
-struct enum_names<load_step>
+struct enum_names<load_failure>
 {
     static constexpr std::array<std::string_view, 5> names
         = {"unreachable", "read", "confirm", "lag", "chain"};
@@ -94,7 +94,7 @@
 };
 
 /// \brief How a program stands against the time that it should be finished.
-struct program_times
+struct program_timing
 {
     /// Time that is left; negative once it is over. Nothing if unknown.
     std::optional<duration> left;
@@ -140,10 +140,10 @@
     /// \returns whether the hold of \p claim may stay in place of what the turn used: as long as no
     /// more than half of the budget is committed. It saves a write, and a program whose budget is
     /// scarce keeps the other half for what its turns use.
-    bool mayStayHeld(const turn_claim &claim) const;
+    bool mayKeepHold(const turn_claim &claim) const;
 
     /// \returns how \p program stands, as far as its account is known here.
-    program_times timesOf(const program_id &program) const;
+    program_timing timingOf(const program_id &program) const;
 
     /// \returns the account of \p program as it is known here.
     account_view accountView(const program_id &program) const;
@@ -151,7 +151,7 @@
     void expire(time_point now);
 
     /// \brief Removes the rows of some programs whose turns nobody may continue from any more.
-    awaitable<void> removeOldRows();
+    awaitable<void> removeExpiredRows();
 
 private:
     struct account_state
@@ -173,36 +173,36 @@
     };
     using account_ptr = std::shared_ptr<account_state>;
     /// \brief One change of an account with the rows that go with it.
-    struct account_step;
+    struct account_change;
 
     account_ptr accountOf(const program_id &program);
     /// \brief Has the rows of the claim's program removed when it can no longer come back.
-    void noteChanged(const turn_claim &claim, store_version version);
+    void extendRetention(const turn_claim &claim, store_version version);
     /// \brief Waits until no other change of \p state is under way. \returns whether that came by
     /// \p deadline.
     awaitable<bool> waitForAccount(account_ptr state, time_point deadline);
-    awaitable<tl::expected<void, turn_refusal>> apply(account_ptr state, account_step step,
+    awaitable<tl::expected<void, turn_refusal>> apply(account_ptr state, account_change step,
                                                       time_point deadline);
-    awaitable<tl::expected<void, turn_refusal>> applyAlone(account_ptr state, account_step step,
-                                                           time_point deadline);
+    awaitable<tl::expected<void, turn_refusal>>
+    applyExclusively(account_ptr state, account_change step, time_point deadline);
     /// \brief Takes in that \p step made \p next the account at \p version.
-    static void adoptStep(account_state &state, const account_step &step, token_account next,
-                          store_version version);
-    store_transaction transactionOf(const account_state &state, const account_step &step,
+    static void onChangeCommitted(account_state &state, const account_change &step,
+                                  token_account next, store_version version);
+    store_transaction transactionOf(const account_state &state, const account_change &step,
                                     const token_account &next) const;
     /// \brief Notes that the turn of \p step and its chain are in the program's part.
-    static void noteStored(account_state &state, const account_step &step);
+    static void recordStoredTurns(account_state &state, const account_change &step);
     /// \brief Adds the turn of \p step, whose tokens are held, and leaves its account as it is.
-    awaitable<tl::expected<void, turn_refusal>> addHeld(account_ptr state, account_step step,
-                                                        time_point deadline);
-    void addPieces(store_transaction &t, const account_state &state,
-                   const account_step &step) const;
+    awaitable<tl::expected<void, turn_refusal>>
+    commitHeldTurn(account_ptr state, account_change step, time_point deadline);
+    void addTurnRows(store_transaction &t, const account_state &state,
+                     const account_change &step) const;
     awaitable<bool> refreshAccount(account_ptr state, program_id program, time_point deadline);
     /// \brief Waits before a call is made again: for \p pause, or in an outage until it is over.
     awaitable<void> waitToRetry(duration pause, time_point deadline);
-    awaitable<bool> indexFirst(turn_ptr t, time_point deadline);
+    awaitable<bool> writeIndexRow(turn_ptr t, time_point deadline);
     /// \brief What a read of a program showed.
-    struct turn_view
+    struct turn_lookup
     {
         /// The wanted turn with its chain, or null.
         turn_ptr found;
@@ -210,38 +210,40 @@
         store_version readAt = 0;
     };
     /// \brief Where the store's newest state has a turn.
-    struct turn_place
+    struct turn_location
     {
         program_id program;
         /// Version of the turn's first row.
         store_version version = 0;
     };
-    awaitable<store_result<turn_view>> readProgram(program_id program, turn_id wanted,
-                                                   time_point deadline);
-    awaitable<store_result<turn_view>> readByIndex(turn_id wanted, time_point deadline);
+    awaitable<store_result<turn_lookup>> readProgram(program_id program, turn_id wanted,
+                                                     time_point deadline);
+    awaitable<store_result<turn_lookup>> readByIndex(turn_id wanted, time_point deadline);
     /// \brief Asks the store by conditions, which lag behind nothing, where \p wanted is.
     /// \returns its place, or nothing if there is certainly no such turn.
-    awaitable<store_result<std::optional<turn_place>>> locate(turn_id wanted, time_point deadline);
+    awaitable<store_result<std::optional<turn_location>>> locate(turn_id wanted,
+                                                                 time_point deadline);
     /// \returns the version of \p name in the newest state with its value; version 0 if absent.
-    awaitable<store_result<stored_row>> newestOf(row_name name, time_point deadline);
+    awaitable<store_result<stored_row>> readNewestRow(row_name name, time_point deadline);
     /// \brief Reads the turn at \p place until the reads have caught up with it.
-    awaitable<tl::expected<turn_ptr, turn_refusal>> awaitTurn(turn_place place, turn_id wanted,
-                                                              time_point deadline);
-    void tellNotLoaded(const program_id &program, const turn_id &wanted, load_step step,
-                       const std::string &detail) const;
-    turn_ptr adoptRows(const program_id &program, const std::vector<stored_row> &rows,
-                       const turn_id &wanted);
-    void adoptAccount(account_state &state, const std::vector<stored_row> &rows);
+    awaitable<tl::expected<turn_ptr, turn_refusal>>
+    readUntilVisible(turn_location place, turn_id wanted, time_point deadline);
+    void logTurnNotLoaded(const program_id &program, const turn_id &wanted, load_failure step,
+                          const std::string &detail) const;
+    turn_ptr processProgramRows(const program_id &program, const std::vector<stored_row> &rows,
+                                const turn_id &wanted);
+    void updateAccount(account_state &state, const std::vector<stored_row> &rows);
     /// \brief Takes in which turns of the account's program \p turns shows as ended.
-    static void adoptEnded(account_state &state, const std::map<turn_id, decoded_turn> &turns);
+    static void recordEndedTurns(account_state &state,
+                                 const std::map<turn_id, decoded_turn> &turns);
     /// \brief Charges ended turns what they used in place of what was held for them.
-    static void settleEnded(account_state &state);
+    static void settleEndedTurns(account_state &state);
 
     store &m_store;
     ledger_settings m_settings;
     turn_cache m_cache;
-    row_janitor m_janitor;
-    unreadable_rows m_unreadable;
+    row_retention_tracker m_rowRetention;
+    unreadable_row_log m_unreadable;
     std::unordered_map<program_id, account_ptr> m_accounts;
     /// How long a turn is remembered here after it was read or added.
     duration m_retention = seconds(60);
--- a/src/turns/turn_ledger_removal.cpp
+++ b/src/turns/turn_ledger_removal.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 /// Programs whose rows are removed at a time, so that removals stay a small share of the calls.
-constexpr std::size_t removalsAtOnce = 8;
+constexpr std::size_t maxProgramsPerRemoval = 8;
 /// Entries that one transaction may have.
-constexpr std::size_t maxEntries = 100;
+constexpr std::size_t maxTransactionEntries = 100;
 
 } // namespace
 
-awaitable<void> turn_ledger::removeOldRows()
+awaitable<void> turn_ledger::removeExpiredRows()
 {
-    for (const row_janitor::due_program &due :
-         m_janitor.takeDue(runtime_clock::now(), removalsAtOnce)) {
-        row_range range = turn_rows::ofProgram(due.program);
+    for (const row_retention_tracker::expired_program &due :
+         m_rowRetention.takeExpired(runtime_clock::now(), maxProgramsPerRemoval)) {
+        row_range range = turn_rows::programRange(due.program);
         const auto page = co_await m_store.read(std::move(range), runtime_clock::now() + callTime);
         if (!page)
             continue;
@@ -39,7 +39,7 @@
                 t.removals.push_back(turn_rows::index(id));
         }
         // A program of more rows than fit is left; its rows cost room, not correctness.
-        if (t.removals.size() >= maxEntries)
+        if (t.removals.size() >= maxTransactionEntries)
             continue;
         const std::int64_t count = std::int64_t(t.removals.size());
         const auto done = co_await m_store.transact(std::move(t), runtime_clock::now() + callTime);
--- a/src/turns/turn_rows.cpp
+++ b/src/turns/turn_rows.cpp
@@ -15,7 +15,7 @@
 /// Parts of the index: transactions of one part go one after the other, so it is spread over many.
 constexpr std::uint64_t indexParts = 256;
 
-std::string pieceKey(const turn_id &id, std::size_t piece)
+std::string chunkKey(const turn_id &id, std::size_t piece)
 {
     // Fixed width, so that the pieces come in order.
     return fmt::format("{}{}#{:04}", turnPrefix, id.value, piece);
@@ -28,9 +28,9 @@
     return {std::string(turnTable), program.value, std::string(accountKey)};
 }
 
-row_name firstPiece(const program_id &program, const turn_id &id)
+row_name firstChunk(const program_id &program, const turn_id &id)
 {
-    return {std::string(turnTable), program.value, pieceKey(id, 0)};
+    return {std::string(turnTable), program.value, chunkKey(id, 0)};
 }
 
 row_name index(const turn_id &id)
@@ -39,7 +39,7 @@
             id.value};
 }
 
-row_range ofProgram(const program_id &program)
+row_range programRange(const program_id &program)
 {
     return {std::string(turnTable), program.value, "", ""};
 }
@@ -49,7 +49,7 @@
     const std::string value = encodeTurn(t);
     std::vector<row_value> rows;
     for (std::size_t start = 0; start < value.size(); start += rowBytes) {
-        rows.push_back({{std::string(turnTable), program.value, pieceKey(t.id, rows.size())},
+        rows.push_back({{std::string(turnTable), program.value, chunkKey(t.id, rows.size())},
                         value.substr(start, rowBytes)});
     }
     return rows;
@@ -74,7 +74,7 @@
     return turns;
 }
 
-bool isAccount(const row_name &row)
+bool isAccountRow(const row_name &row)
 {
     return row.table == turnTable && row.key == accountKey;
 }
--- a/test/io/answer_patience_test.cpp
+++ b/test/io/adaptive_timeout_test.cpp
@@ -1,4 +1,4 @@
-#include "members/answer_patience.h"
+#include "members/adaptive_timeout.h"
 
 #include <doctest/doctest.h>
 
@@ -8,7 +8,7 @@
 {
     TEST_CASE("the wait for the store's answer follows the answers that come")
     {
-        answer_patience patience;
+        adaptive_timeout patience;
         CHECK(patience.wait() == milliseconds(400));
         for (int i = 0; i < 50; ++i)
             patience.onAnswer(milliseconds(8));
--- a/test/io/client_history_test.cpp
+++ b/test/io/client_history_test.cpp
@@ -2,7 +2,7 @@
 
 // doctest's macros are used by the world.
 #include "entry_fixture.h"
-#include "model_store.h"
+#include "fake_store.h"
 
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
 
-    model_store access;
+    fake_store access;
     turn_ledger ledger;
 };
 
--- a/test/io/entry_service_test.cpp
+++ b/test/io/entry_service_test.cpp
@@ -141,7 +141,7 @@
             // connections looked alive, and the first request on each was cut off.
             CHECK(statusOf(w.ask(request("/unsafe/x", "r1"))) == 200);
             replica_entry restarted = w.a.entry;
-            restarted.incarnation.bornUnixMs = 1'700'000'000'000;
+            restarted.incarnation.startedUnixMs = 1'700'000'000'000;
             w.service->setReplicas({restarted});
             CHECK(statusOf(w.ask(request("/unsafe/x", "r2"))) == 200);
             CHECK(w.a.connections == 2);
--- a/test/io/model_store.h
+++ b/test/io/fake_store.h
@@ -10,13 +10,13 @@
 namespace azurehill::test {
 
 /// \brief What goes wrong with one call of the store.
-enum class store_fault { None, Refused, Limited, LostBefore, LostAfter, Late, Slow };
+enum class store_fault { None, Refused, Limited, RequestDropped, ResponseDropped, Late, Slow };
 
 /// \brief A store in memory whose calls fail as a test wants it.
-class model_store : public store
+class fake_store : public store
 {
 public:
-    explicit model_store(row_store &rows) : m_rows(rows) { }
+    explicit fake_store(row_store &rows) : m_rows(rows) { }
 
     /// What goes wrong with the next call.
     std::function<store_fault()> nextFault = [] { return store_fault::None; };
@@ -25,9 +25,9 @@
     /// Rows that answers held.
     std::size_t rowsRead = 0;
     /// The store has forgotten what changed.
-    bool historyIsGone = false;
+    bool isHistoryGone = false;
     /// Reads show these rows instead of the newest ones; conditions are answered from the newest.
-    const row_store *readsShow = nullptr;
+    const row_store *staleRows = nullptr;
 
     awaitable<store_result<store_version>> transact(store_transaction t,
                                                     time_point deadline) override
@@ -41,14 +41,14 @@
             co_return tl::unexpected(store_error{store_error_kind::Refused, "refused", {}});
         if (fault == store_fault::Limited)
             co_return tl::unexpected(store_error{store_error_kind::Limited, "limited", {}});
-        if (fault == store_fault::LostBefore)
+        if (fault == store_fault::RequestDropped)
             co_return tl::unexpected(lost());
         if (fault == store_fault::Late) {
             m_late.push_back(std::move(t));
             co_return tl::unexpected(lost());
         }
         auto done = m_rows.apply(t);
-        if (fault == store_fault::LostAfter || isTooSlow)
+        if (fault == store_fault::ResponseDropped || isTooSlow)
             co_return tl::unexpected(lost());
         if (!done) {
             co_return tl::unexpected(
@@ -66,7 +66,7 @@
             co_return tl::unexpected(store_error{store_error_kind::Refused, "refused", {}});
         if (fault != store_fault::None && fault != store_fault::Slow)
             co_return tl::unexpected(lost());
-        row_page page = (readsShow ? *readsShow : m_rows).read(range);
+        row_page page = (staleRows ? *staleRows : m_rows).read(range);
         rowsRead += page.rows.size();
         co_return page;
     }
@@ -79,7 +79,7 @@
         auto page = m_rows.changes(table, after);
         if (page)
             rowsRead += page->rows.size();
-        if (!page || historyIsGone)
+        if (!page || isHistoryGone)
             co_return tl::unexpected(store_error{store_error_kind::HistoryGone, "gone", {}});
         co_return *page;
     }
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -1,6 +1,6 @@
+#include "fake_store.h"
 #include "lending/lending.h"
 #include "loopback.h"
-#include "model_store.h"
 
 #include <boost/asio/ip/udp.hpp>
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
                                             std::move(*book));
 }
 
-/// \brief A daemon as far as it borrows and lends.
+/// \brief A daemon as far as it canBorrow and lends.
 struct lending_host
 {
     lending_host(asio::io_context &context, row_store &rows, const std::string &name,
@@ -42,7 +42,7 @@
         exchange.setRoutes(routesWith({1000, 1000}));
     }
 
-    model_store access;
+    fake_store access;
     credit_exchange exchange;
     member_state self;
 };
@@ -71,7 +71,7 @@
         }
         host(i).exchange.setMembers(host(i).self, std::move(others));
     }
-    void tellAll(std::int64_t incarnation)
+    void setAllMembers(std::int64_t incarnation)
     {
         for (std::size_t i = 0; i < 3; ++i)
             tell(i, incarnation);
@@ -83,7 +83,7 @@
         runInSteps(context, wait(time), step);
     }
     /// \returns whether host \p i gets a credit.
-    bool borrows(std::size_t i)
+    bool canBorrow(std::size_t i)
     {
         bool isLent = false;
         auto go = [&]() -> awaitable<void> {
@@ -96,7 +96,7 @@
         runInSteps(context, go(), step);
         return isLent;
     }
-    bool allBorrow() { return borrows(0) && borrows(1) && borrows(2); }
+    bool allBorrow() { return canBorrow(0) && canBorrow(1) && canBorrow(2); }
     /// \returns the daemon that the store names as the one that lends.
     std::string holder()
     {
@@ -119,7 +119,7 @@
     TEST_CASE("any daemon gets credits from the one that holds the account's row")
     {
         lending_world w;
-        w.tellAll(1);
+        w.setAllMembers(1);
         w.pass(seconds(1));
         CHECK(w.allBorrow());
         const daemon_id wanted = preferredHolder(shardOf(account), {{"h0"}, {"h1"}, {"h2"}});
@@ -134,7 +134,7 @@
         w.host(other).exchange.setMembers(w.host(other).self, {});
         w.pass(seconds(1));
         REQUIRE(w.holder() == w.host(other).self.name.value);
-        w.tellAll(1);
+        w.setAllMembers(1);
         w.pass(seconds(1));
         // The one that should hold it has looked by now, and must leave it to one that lives.
         CHECK(w.holder() == w.host(other).self.name.value);
@@ -156,9 +156,9 @@
         REQUIRE(w.holder() == w.host(other).self.name.value);
         w.startAll(2);
         // The first words of the others are those of their runs before.
-        w.tellAll(1);
+        w.setAllMembers(1);
         w.pass(milliseconds(300));
-        w.tellAll(2);
+        w.setAllMembers(2);
         w.pass(seconds(1));
         CHECK(w.allBorrow());
     }
@@ -166,7 +166,7 @@
     TEST_CASE("credits are lent on through an outage of the store")
     {
         lending_world w;
-        w.tellAll(1);
+        w.setAllMembers(1);
         w.pass(seconds(1));
         CHECK(w.allBorrow());
         for (std::size_t i = 0; i < 3; ++i)
@@ -177,7 +177,7 @@
         SUBCASE("and not for ever, as another daemon may have taken the row")
         {
             w.pass(seconds(6));
-            CHECK_FALSE(w.borrows(0));
+            CHECK_FALSE(w.canBorrow(0));
         }
     }
 
@@ -195,7 +195,7 @@
         lender.storeReachable = true;
         lender.gossip = endpoint{"127.0.0.1", std::uint16_t(silent.local_endpoint().port() - 1)};
         w.host(0).exchange.setMembers(w.host(0).self, {lender});
-        CHECK_FALSE(w.borrows(0));
+        CHECK_FALSE(w.canBorrow(0));
         int asked = 0;
         std::string text(4096, '\0');
         boost::system::error_code code;
@@ -211,7 +211,7 @@
     TEST_CASE("when the holder is gone another daemon lends")
     {
         lending_world w;
-        w.tellAll(1);
+        w.setAllMembers(1);
         w.pass(seconds(4));
         REQUIRE(w.allBorrow());
         const std::string gone = w.holder();
@@ -226,7 +226,7 @@
         w.pass(seconds(1));
         for (std::size_t i = 0; i < 3; ++i) {
             if (w.host(i).self.name.value != gone)
-                CHECK(w.borrows(i));
+                CHECK(w.canBorrow(i));
         }
         CHECK(w.holder() != gone);
     }
--- a/test/io/member_list_test.cpp
+++ b/test/io/member_list_test.cpp
@@ -38,7 +38,7 @@
     return m;
 }
 
-probe_message introductionOf(const member_state &m)
+probe_message pingWithState(const member_state &m)
 {
     probe_message message = from(m.name.value, m.incarnation, m.version);
     message.updates.push_back({m, member_health::Alive});
@@ -104,7 +104,7 @@
     {
         // A row outlives a host that lost its power.
         member_list list;
-        list.onListed(state("a", 3, 1), at(0));
+        list.onStoredMember(state("a", 3, 1), at(0));
         CHECK(list.alive().empty());
         CHECK(list.silent().size() == 1);
 
@@ -138,22 +138,22 @@
             CHECK(out.front().to == peer);
             CHECK(out.front().message.kind == probe_kind::Ack);
             CHECK(out.front().message.sequence == 5);
-            CHECK(out.front().message.asksWho);
+            CHECK(out.front().message.requestsState);
         }
         SUBCASE("what was told unasked gets no answer that asks: two would go on for ever")
         {
             probe_message told = from("a", 1, 1, probe_kind::Ack);
             told.sequence = 0;
             CHECK(daemon.onMessage(told, peer, at(0)).empty());
-            told.asksWho = true;
+            told.requestsState = true;
             const auto out = daemon.onMessage(told, peer, at(0));
             REQUIRE(out.size() == 1);
-            CHECK_FALSE(out.front().message.asksWho);
+            CHECK_FALSE(out.front().message.requestsState);
             CHECK(out.front().message.updates.back().state.name.value == "self");
         }
         SUBCASE("it denies that it is gone, and tells another that it is held for gone")
         {
-            daemon.onMessage(introductionOf(state("a")), peer, at(0));
+            daemon.onMessage(pingWithState(state("a")), peer, at(0));
             probe_message rumour = from("a", 1, 1);
             rumour.updates.push_back({daemon.self(), member_health::Dead});
             const std::uint64_t before = daemon.self().version;
@@ -188,9 +188,9 @@
     {
         // The others hold its earlier run for the later one, and all that the new one says for old.
         membership_protocol daemon(state("self", 1000), 1);
-        daemon.onListed(state("self", 5000), at(0));
+        daemon.onStoredMember(state("self", 5000), at(0));
         CHECK(daemon.self().incarnation == 5001);
-        daemon.onListed(state("self", 5000), at(0));
+        daemon.onStoredMember(state("self", 5000), at(0));
         CHECK(daemon.self().incarnation == 5001);
     }
 
@@ -211,10 +211,10 @@
 
     TEST_CASE("words on places are kept for as long as they are fresh, one of each daemon")
     {
-        word_sample sample;
+        gossip_reports sample;
         sample.onHeard({"a"}, {{"model", {1, 1, 0, 0}}}, {}, at(0));
         sample.onHeard({"a"}, {{"model", {2, 2, 0, 0}}}, {}, at(100));
-        sample.onHeard({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_word::Fails}}, at(900));
+        sample.onHeard({"b"}, {{"model", {3, 3, 0, 0}}}, {{{"i"}, replica_report::Fails}}, at(900));
         CHECK(sample.heard().size() == 2);
         CHECK(sample.heard().front().at("model").wanted == 2);
         sample.expire(at(1400));
@@ -237,14 +237,14 @@
     TEST_CASE("messages survive the way")
     {
         probe_message m = from("a", 7, 9, probe_kind::IndirectPing);
-        m.asksWho = true;
+        m.requestsState = true;
         m.target = peer;
         m.updates.push_back({state("b", 3, 4), member_health::Suspect});
         const auto back = decodeProbe(encodeProbe(m));
         REQUIRE(back);
         CHECK(back->kind == probe_kind::IndirectPing);
         CHECK(back->sequence == 5);
-        CHECK(back->asksWho);
+        CHECK(back->requestsState);
         CHECK(back->target == peer);
         REQUIRE(back->updates.size() == 1);
         CHECK(back->updates.front().health == member_health::Suspect);
--- a/test/io/membership_replay.cpp
+++ b/test/io/membership_replay.cpp
@@ -48,15 +48,15 @@
         m_daemons.emplace_back(stateOf(i), std::uint64_t(i) + 1);
     for (int i = 0; i < size; ++i) {
         for (int other = 0; other < size; ++other)
-            m_daemons[std::size_t(i)].onListed(stateOf(other), m_now);
+            m_daemons[std::size_t(i)].onStoredMember(stateOf(other), m_now);
         const auto phase = std::uniform_int_distribution<int>(0, 199)(m_random);
         push(m_now + milliseconds(phase), {i, -1, {}, false});
     }
-    if (how == start::Acquainted)
-        acquaint();
+    if (how == start::Joined)
+        introduceAll();
 }
 
-void membership_replay::acquaint()
+void membership_replay::introduceAll()
 {
     for (membership_protocol &daemon : m_daemons) {
         for (const membership_protocol &other : m_daemons) {
@@ -102,7 +102,7 @@
     m_everStopped.insert(daemon);
 }
 
-void membership_replay::thaw(int daemon)
+void membership_replay::unfreeze(int daemon)
 {
     m_stopped.erase(daemon);
     for (event &e : m_held[daemon])
@@ -115,14 +115,14 @@
     if (countsBytes)
         bytes += std::int64_t(encodeProbe(datagram.message).size()) + ipAndUdpBytes;
     const int target = indexOf(datagram.to);
-    const bool isLost = std::uniform_real_distribution<double>(0, 1)(m_random) < m_loss;
-    if (!isLost && !m_cut.contains({from, target}))
+    const bool isLost = std::uniform_real_distribution<double>(0, 1)(m_random) < m_lossRate;
+    if (!isLost && !m_cutLinks.contains({from, target}))
         push(m_now + latency(), {target, from, datagram.message, false});
 }
 
 void membership_replay::count(int holder, const std::vector<member_change> &changes)
 {
-    if (holder == m_ignored)
+    if (holder == m_ignoredObserver)
         return;
     for (const member_change &c : changes) {
         const bool hasRun = !m_everStopped.contains(indexOf(c.member.gossip));
@@ -130,7 +130,7 @@
     }
 }
 
-int membership_replay::holdersOf(int daemon) const
+int membership_replay::countSeeingAlive(int daemon) const
 {
     int holders = 0;
     for (int i = 0; i < int(m_daemons.size()); ++i) {
@@ -146,7 +146,7 @@
 {
     const int running = int(m_daemons.size() - m_stopped.size());
     for (int i = 0; i < int(m_daemons.size()); ++i) {
-        if (holdersOf(i) != (m_stopped.contains(i) ? 0 : running - 1))
+        if (countSeeingAlive(i) != (m_stopped.contains(i) ? 0 : running - 1))
             return false;
     }
     return true;
@@ -182,7 +182,7 @@
 {
     table_cache &copy = m_copies[std::size_t(daemon)];
     const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
-    if (isReadDue(m_turns, copy.age(m_now), chance) && !m_storeCut.contains(daemon)) {
+    if (isReadDue(m_turns, copy.age(m_now), chance) && !m_withoutStore.contains(daemon)) {
         ++tableReads;
         copy.onRead(tablePage(), m_now);
     }
@@ -191,13 +191,13 @@
 
 void membership_replay::onDigests(int daemon)
 {
-    for (const digest_news &news : m_daemons[std::size_t(daemon)].takeDigests()) {
+    for (const peer_digest &news : m_daemons[std::size_t(daemon)].takeDigests()) {
         if (m_copies.empty())
             return;
         const int other = news.peer.port;
         table_cache &copy = m_copies[std::size_t(daemon)];
-        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_verdict::Behind;
-        const bool isReached = !m_stopped.contains(other) && !m_cut.contains({daemon, other});
+        const bool isBehind = copy.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
+        const bool isReached = !m_stopped.contains(other) && !m_cutLinks.contains({daemon, other});
         if (isBehind && isReached) {
             const table_cache &theirs = m_copies[std::size_t(other)];
             copy.onChanges(theirs.changesSince(copy.version(), m_now), m_now);
@@ -234,7 +234,7 @@
 
 void membership_replay::happen(const event &e)
 {
-    if (e.isLook) {
+    if (e.isTablePoll) {
         look(e.daemon);
         return;
     }
--- a/test/io/membership_replay.h
+++ b/test/io/membership_replay.h
@@ -22,25 +22,25 @@
         /// All start at once, and have read each other's rows.
         Rows,
         /// All run, and have heard of each other.
-        Acquainted,
+        Joined,
     };
 
     explicit membership_replay(int size, start how = start::Rows);
 
     /// \brief Lets \p time pass.
     void play(duration time);
-    /// \brief The daemon does and hears nothing from now on, until thaw().
+    /// \brief The daemon does and hears nothing from now on, until unfreeze().
     void stop(int daemon);
     /// \brief The daemon goes on; what was sent to it meanwhile arrives now.
-    void thaw(int daemon);
+    void unfreeze(int daemon);
     /// \brief Datagrams from \p from to \p to are lost from now on.
-    void cut(int from, int to) { m_cut.insert({from, to}); }
+    void cut(int from, int to) { m_cutLinks.insert({from, to}); }
     /// \brief What \p daemon holds of the others counts for nothing: it can't know.
-    void ignoreBeliefsOf(int daemon) { m_ignored = daemon; }
+    void ignoreViewOf(int daemon) { m_ignoredObserver = daemon; }
     /// \brief Lets links work again.
-    void mendLinks() { m_cut.clear(); }
+    void restoreLinks() { m_cutLinks.clear(); }
     /// \brief This share of all datagrams is lost from now on.
-    void loseShare(double share) { m_loss = share; }
+    void setLossRate(double share) { m_lossRate = share; }
 
     /// \brief Has all daemons follow a table of the store from now on.
     /// \param bound the time within which each must act on a change.
@@ -48,16 +48,16 @@
     /// \brief Another daemon than before has a row in the table.
     void changeTable();
     /// \brief The daemon's reads fail from now on.
-    void cutStore(int daemon) { m_storeCut.insert(daemon); }
+    void cutStore(int daemon) { m_withoutStore.insert(daemon); }
     /// \brief All daemons reach the store again.
-    void mendStore() { m_storeCut.clear(); }
+    void restoreStore() { m_withoutStore.clear(); }
     /// \returns how many running daemons have another table than the store's.
     int daemonsBehind() const;
     /// \returns the age of the oldest copy of a running daemon.
     duration oldestCopy() const;
 
     /// \returns how many of the running daemons hold \p daemon for alive.
-    int holdersOf(int daemon) const;
+    int countSeeingAlive(int daemon) const;
     /// \returns whether each running daemon holds exactly the running ones for alive.
     bool isAgreed() const;
 
@@ -77,11 +77,11 @@
         int from = -1;
         /// Nothing for the daemon's own round, or its look at the table.
         std::optional<probe_message> message;
-        bool isLook = false;
+        bool isTablePoll = false;
     };
 
     void push(time_point at, event e);
-    void acquaint();
+    void introduceAll();
     void happen(const event &e);
     void look(int daemon);
     void onDigests(int daemon);
@@ -99,12 +99,12 @@
     std::set<int> m_stopped;
     std::set<int> m_everStopped;
     std::map<int, std::vector<event>> m_held;
-    std::set<std::pair<int, int>> m_cut;
-    double m_loss = 0;
-    int m_ignored = -1;
-    read_turns m_turns;
+    std::set<std::pair<int, int>> m_cutLinks;
+    double m_lossRate = 0;
+    int m_ignoredObserver = -1;
+    poll_schedule m_turns;
     std::vector<table_cache> m_copies;
-    std::set<int> m_storeCut;
+    std::set<int> m_withoutStore;
     std::vector<stored_row> m_table;
     store_version m_storeVersion = 1;
 };
--- a/test/io/membership_replay_test.cpp
+++ b/test/io/membership_replay_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 /// Time in which all daemons that start at once have heard of each other.
-constexpr duration startTime = seconds(5);
+constexpr duration startupBound = seconds(5);
 /// A death is known to all that run within this time.
-constexpr duration deathTime = milliseconds(1500);
+constexpr duration deathDetectionBound = milliseconds(1500);
 /// Bytes a second that a daemon may send to tell who lives, and what it wants of the engines.
 constexpr double mostBytes = 6000;
 
@@ -26,7 +26,7 @@
         for (const int size : {30, 300}) {
             CAPTURE(size);
             membership_replay replay(size);
-            replay.play(startTime);
+            replay.play(startupBound);
             CHECK(replay.isAgreed());
             replay.falseDeaths = 0;
             replay.countsBytes = true;
@@ -42,11 +42,11 @@
         // Callers are sent to a host that lost its power until all know of it.
         for (const int size : {3, 30, 300, 1800}) {
             CAPTURE(size);
-            membership_replay replay(size, membership_replay::start::Acquainted);
+            membership_replay replay(size, membership_replay::start::Joined);
             replay.play(seconds(1));
             replay.stop(1);
-            replay.play(deathTime);
-            CHECK(replay.holdersOf(1) == 0);
+            replay.play(deathDetectionBound);
+            CHECK(replay.countSeeingAlive(1) == 0);
             CHECK(replay.falseDeaths == 0);
         }
     }
@@ -56,7 +56,7 @@
         // A data centre and more lose power. The others take no living one for gone, though half of
         // the daemons that they ask to ping for them don't answer either.
         membership_replay replay(300);
-        replay.play(startTime);
+        replay.play(startupBound);
         for (int i = 0; i < 300; i += 2)
             replay.stop(i);
         replay.play(seconds(4));
@@ -68,7 +68,7 @@
             // What they had asked before they stopped was not answered to them: they must not take
             // that for a sign that the others are gone.
             for (int i = 0; i < 300; i += 2)
-                replay.thaw(i);
+                replay.unfreeze(i);
             replay.play(seconds(6));
             CHECK(replay.isAgreed());
             CHECK(replay.falseDeaths == 0);
@@ -78,8 +78,8 @@
     TEST_CASE("lost datagrams make nobody dead")
     {
         membership_replay replay(100);
-        replay.play(startTime);
-        replay.loseShare(0.05);
+        replay.play(startupBound);
+        replay.setLossRate(0.05);
         replay.play(seconds(30));
         CHECK(replay.falseDeaths == 0);
     }
@@ -89,7 +89,7 @@
         // One host can't reach a third of the others, which reach it: its pings are made through
         // others, and a suspicion is denied.
         membership_replay replay(60);
-        replay.play(startTime);
+        replay.play(startupBound);
         for (int other = 1; other < 60; other += 3)
             replay.cut(0, other);
         replay.play(seconds(20));
@@ -100,12 +100,12 @@
     TEST_CASE("a daemon that hears nobody accuses nobody")
     {
         // One host's datagrams go out and none come in. It suspected all others, by turns, and had
-        // each deny that to all: 29.7 KB a second at every daemon, and after the link was mended
+        // each refute that to all: 29.7 KB a second at every daemon, and after the link was mended
         // they had not agreed on who lives within four seconds.
         constexpr int size = 300;
-        membership_replay replay(size, membership_replay::start::Acquainted);
+        membership_replay replay(size, membership_replay::start::Joined);
         replay.play(seconds(2));
-        replay.ignoreBeliefsOf(0);
+        replay.ignoreViewOf(0);
         for (int other = 1; other < size; ++other)
             replay.cut(other, 0);
         replay.play(seconds(4));
@@ -113,10 +113,10 @@
         constexpr int seconds = 5;
         replay.play(std::chrono::seconds(seconds));
         // Only the host itself is held for gone, as nobody gets an answer from it.
-        CHECK(replay.holdersOf(0) == 0);
+        CHECK(replay.countSeeingAlive(0) == 0);
         CHECK(replay.falseDeaths == size - 1);
         CHECK(double(replay.bytes) / size / seconds <= mostBytes);
-        replay.mendLinks();
+        replay.restoreLinks();
         replay.play(std::chrono::seconds(4));
         CHECK(replay.isAgreed());
     }
@@ -124,7 +124,7 @@
     TEST_CASE("two halves that were cut from each other find together again")
     {
         membership_replay replay(40);
-        replay.play(startTime);
+        replay.play(startupBound);
         for (int a = 0; a < 20; ++a) {
             for (int b = 20; b < 40; ++b) {
                 replay.cut(a, b);
@@ -132,9 +132,9 @@
             }
         }
         replay.play(seconds(4));
-        CHECK(replay.holdersOf(0) == 19);
-        CHECK(replay.holdersOf(39) == 19);
-        replay.mendLinks();
+        CHECK(replay.countSeeingAlive(0) == 19);
+        CHECK(replay.countSeeingAlive(39) == 19);
+        replay.restoreLinks();
         replay.play(seconds(4));
         CHECK(replay.isAgreed());
     }
@@ -143,14 +143,14 @@
     {
         // Small hosts stand still for some tenths of a second when they are short of processor.
         membership_replay replay(60);
-        replay.play(startTime);
+        replay.play(startupBound);
         for (int i = 0; i < 20; ++i) {
             replay.stop(i);
             replay.play(milliseconds(350));
-            CHECK(replay.holdersOf(i) == 59);
-            replay.thaw(i);
+            CHECK(replay.countSeeingAlive(i) == 59);
+            replay.unfreeze(i);
             replay.play(milliseconds(150));
-            CHECK(replay.holdersOf(i) == 59);
+            CHECK(replay.countSeeingAlive(i) == 59);
         }
         CHECK(replay.falseDeaths == 0);
         CHECK(replay.isAgreed());
--- a/test/io/paced_store_test.cpp
+++ b/test/io/paced_store_test.cpp
@@ -1,5 +1,5 @@
+#include "fake_store.h"
 #include "loopback.h"
-#include "model_store.h"
 #include "store/paced_store.h"
 
 #include <doctest/doctest.h>
@@ -28,16 +28,16 @@
 }
 
 /// \brief A paced store, and writes that are wanted at the same moment.
-struct paced_world
+struct paced_store_fixture
 {
     row_store rows;
-    model_store inner{rows};
+    fake_store inner{rows};
     asio::io_context context;
     paced_store paced{context.get_executor(), inner};
     std::vector<store_result<store_version>> results;
 
     /// \brief The store's rate is so low that all but the first wait and go together.
-    paced_world() { paced.setRates(1, 1); }
+    paced_store_fixture() { paced.setRates(1, 1); }
 
     awaitable<void> write(store_transaction t, duration patience, std::size_t place)
     {
@@ -80,7 +80,7 @@
 {
     TEST_CASE("writes that waited go together, and each gets its own result")
     {
-        paced_world w;
+        paced_store_fixture w;
         // The first two use up what was saved.
         const std::vector<store_transaction> writes{put("a", 0), put("b", 0), put("c", 0),
                                                     put("d", 0), put("e", 0)};
@@ -110,7 +110,7 @@
         }
         SUBCASE("an answer that is lost leaves all of them in doubt")
         {
-            w.inner.nextFault = [] { return store_fault::LostAfter; };
+            w.inner.nextFault = [] { return store_fault::ResponseDropped; };
             w.writeAll(writes);
             for (const auto &result : w.results) {
                 REQUIRE_FALSE(result);
@@ -123,7 +123,7 @@
     {
         // At its limit the store answered in 300 ms. Each call had a write in it with less time
         // left, so all were given up and asked again: ends of answers waited for two seconds.
-        paced_world w;
+        paced_store_fixture w;
         w.inner.nextFault = [] { return store_fault::Slow; };
         std::vector<store_transaction> writes;
         std::vector<duration> patience;
@@ -140,7 +140,7 @@
 
     TEST_CASE("a write beyond the store's rate goes again, and is given up in time")
     {
-        paced_world w;
+        paced_store_fixture w;
         int refusals = 3;
         w.inner.nextFault
             = [&] { return refusals-- > 0 ? store_fault::Limited : store_fault::None; };
--- a/test/io/platform_codec_test.cpp
+++ b/test/io/platform_codec_test.cpp
@@ -135,7 +135,7 @@
         const auto r = with("version", R"("v1")");
         REQUIRE(r);
         CHECK(r->incarnation.id.value == "i-1");
-        CHECK(r->incarnation.bornUnixMs == 1'700'000'000'123);
+        CHECK(r->incarnation.startedUnixMs == 1'700'000'000'123);
         CHECK(r->draining);
         CHECK(r->slots == 6);
         CHECK(r->sequence == 4);
@@ -144,7 +144,7 @@
         {
             const auto unborn = with("born", "");
             REQUIRE(unborn);
-            CHECK(unborn->incarnation.bornUnixMs == 0);
+            CHECK(unborn->incarnation.startedUnixMs == 0);
         }
         SUBCASE("a start in the future is taken: hosts' clocks differ")
         {
--- a/test/io/replica_discovery_test.cpp
+++ b/test/io/replica_discovery_test.cpp
@@ -1,6 +1,6 @@
 #include "entry/replica_discovery.h"
+#include "fake_store.h"
 #include "loopback.h"
-#include "model_store.h"
 
 #include <doctest/doctest.h>
 
@@ -39,12 +39,12 @@
         co_await writer.write(std::move(response));
     }
 
-    digest_news announcement() const
+    peer_digest announcement() const
     {
         return {address, *discovery.digest(), runtime_clock::now()};
     }
 
-    model_store inner;
+    fake_store inner;
     replica_discovery discovery;
     http_server server;
     endpoint address;
@@ -164,7 +164,7 @@
         }
         SUBCASE("or all rows when the store has forgotten that")
         {
-            daemon.inner.historyIsGone = true;
+            daemon.inner.isHistoryGone = true;
             put(rows, "i-7", entryText(6));
             for (int i = 0; i < 3; ++i)
                 poll();
--- a/test/io/replica_news_replay_test.cpp
+++ b/test/io/replica_news_replay_test.cpp
@@ -10,11 +10,11 @@
 constexpr duration bound = seconds(4);
 /// Reads a second of all daemons that the store is asked for at most, whatever their number: about
 /// twice what sixteen readers make.
-constexpr double mostReads = 32;
+constexpr double maxReadsPerSecond = 32;
 
 membership_replay runningReplay(int size)
 {
-    membership_replay replay(size, membership_replay::start::Acquainted);
+    membership_replay replay(size, membership_replay::start::Joined);
     replay.followTable(bound);
     replay.play(seconds(3));
     return replay;
@@ -34,7 +34,7 @@
             membership_replay replay = runningReplay(size);
             replay.tableReads = 0;
             replay.play(seconds(2));
-            CHECK(double(replay.tableReads) / 2 <= mostReads);
+            CHECK(double(replay.tableReads) / 2 <= maxReadsPerSecond);
             replay.changeTable();
             replay.play(bound);
             CHECK(replay.daemonsBehind() == 0);
@@ -66,7 +66,7 @@
         }
         SUBCASE("one in ten datagrams is lost")
         {
-            replay.loseShare(0.1);
+            replay.setLossRate(0.1);
         }
         for (int change = 0; change < 3; ++change) {
             replay.changeTable();
@@ -82,7 +82,7 @@
         replay.play(seconds(5));
         replay.changeTable();
         replay.play(bound);
-        replay.thaw(7);
+        replay.unfreeze(7);
         replay.play(seconds(2));
         CHECK(replay.daemonsBehind() == 0);
     }
@@ -95,13 +95,13 @@
             replay.cutStore(i);
         replay.play(seconds(6));
         replay.changeTable();
-        replay.mendStore();
+        replay.restoreStore();
         replay.play(bound / 2);
         CHECK(replay.daemonsBehind() == 0);
         replay.play(seconds(2));
         replay.tableReads = 0;
         replay.play(seconds(2));
-        CHECK(double(replay.tableReads) / 2 <= mostReads);
+        CHECK(double(replay.tableReads) / 2 <= maxReadsPerSecond);
     }
 }
 
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -1,5 +1,5 @@
 #include "entry_fixture.h"
-#include "model_store.h"
+#include "fake_store.h"
 #include "turns/turns.h"
 
 #include <doctest/doctest.h>
@@ -36,11 +36,11 @@
 }
 
 /// \brief A daemon's ledger on a store that can go silent.
-struct outage_world
+struct outage_fixture
 {
-    void goAway()
+    void makeUnavailable()
     {
-        access.nextFault = [] { return store_fault::LostBefore; };
+        access.nextFault = [] { return store_fault::RequestDropped; };
         access.reachable = false;
     }
 
@@ -52,13 +52,13 @@
 
     asio::io_context context;
     row_store rows;
-    model_store access{rows};
+    fake_store access{rows};
     turn_ledger ledger{access, {}};
 };
 
-awaitable<void> goAwayFor(outage_world &w, duration time)
+awaitable<void> simulateOutage(outage_fixture &w, duration time)
 {
-    w.goAway();
+    w.makeUnavailable();
     co_await sleepFor(time);
     w.comeBack();
 }
@@ -92,8 +92,8 @@
         {
             // A program came back two seconds after the outage and was told `store_unavailable`
             // after 11.8 s: the settling of an earlier turn had the program's account all the time.
-            outage_world w;
-            w.goAway();
+            outage_fixture w;
+            w.makeUnavailable();
             spawn(w.context.get_executor(), "settle", w.ledger.settleHold(claimFor("t1"), 0));
             duration waited{};
             auto story = [&]() -> awaitable<void> {
@@ -114,7 +114,7 @@
             // The store was silent for four seconds. 567 answers were cut off whose end waited for
             // it, more than 460 of them after it was back: each end slept up to 640 ms, or sat in a
             // call that the silence had swallowed, and its client left meanwhile.
-            outage_world w;
+            outage_fixture w;
             duration waited{};
             auto story = [&]() -> awaitable<void> {
                 const turn_claim claim = claimFor("t1");
@@ -122,7 +122,7 @@
                 REQUIRE(held);
                 constexpr duration outage = milliseconds(2200);
                 const time_point back = later(outage);
-                spawn(w.context.get_executor(), "outage", goAwayFor(w, outage));
+                spawn(w.context.get_executor(), "outage", simulateOutage(w, outage));
                 co_await sleepFor(milliseconds(200));
                 const turn_ptr t = turnOf(claim);
                 const auto done = co_await w.ledger.commit(t, 10, seconds(60), later(seconds(4)));
--- a/test/io/turn_ledger_test.cpp
+++ b/test/io/turn_ledger_test.cpp
@@ -1,5 +1,5 @@
+#include "fake_store.h"
 #include "loopback.h"
-#include "model_store.h"
 #include "turns/turn_rows.h"
 #include "turns/turns.h"
 
@@ -47,7 +47,7 @@
 {
     explicit ledger_host(row_store &rows) : access(rows), ledger(access, {}) { }
 
-    model_store access;
+    fake_store access;
     turn_ledger ledger;
 };
 
@@ -125,7 +125,7 @@
                 const turn_claim two = claimFor("t2", other, 1000, 50);
                 const turn_ptr b = co_await runTurn(second.ledger, two, *found, 10);
                 REQUIRE(b);
-                CHECK(rows.read(turn_rows::ofProgram(other)).rows.size() == 3);
+                CHECK(rows.read(turn_rows::programRange(other)).rows.size() == 3);
             };
             runPaused(context, story());
         }
@@ -174,7 +174,7 @@
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 co_await runTurn(writer.ledger, one, nullptr, 50);
                 store_transaction t;
-                t.writes.push_back({turn_rows::firstPiece(program, {"t1"}), "\xff\xfe"});
+                t.writes.push_back({turn_rows::firstChunk(program, {"t1"}), "\xff\xfe"});
                 static_cast<void>(rows.apply(t));
                 const turn_id spoiled{"t1"};
                 const auto b
@@ -209,13 +209,13 @@
         ledger_pair w;
         auto &[rows, first, second, context, program] = w;
         row_store before;
-        second.access.readsShow = &before;
+        second.access.staleRows = &before;
 
         SUBCASE("reads that catch up within the turn's time refuse nothing")
         {
             auto catchUp = [&]() -> awaitable<void> {
                 co_await sleepFor(milliseconds(600));
-                second.access.readsShow = nullptr;
+                second.access.staleRows = nullptr;
             };
             auto story = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
@@ -246,11 +246,11 @@
 
         SUBCASE("a row that can't be read does not change by waiting")
         {
-            second.access.readsShow = nullptr;
+            second.access.staleRows = nullptr;
             auto story = [&]() -> awaitable<void> {
                 co_await w.runUsual(first.ledger, "t1", nullptr);
                 store_transaction t;
-                t.writes.push_back({turn_rows::firstPiece(program, {"t1"}), "\xff\xfe"});
+                t.writes.push_back({turn_rows::firstChunk(program, {"t1"}), "\xff\xfe"});
                 static_cast<void>(rows.apply(t));
                 const turn_id wanted{"t1"};
                 const time_point began = runtime_clock::now();
@@ -267,12 +267,12 @@
         {
             // The daemon that added a program's last turn removes all its rows, and the entries of
             // the turns that it added itself. Those of others' turns stay.
-            second.access.readsShow = nullptr;
+            second.access.staleRows = nullptr;
             auto story = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
                 co_await w.runUsual(second.ledger, "t2", a);
                 runtime_clock::advance(seconds(75));
-                co_await second.ledger.removeOldRows();
+                co_await second.ledger.removeExpiredRows();
                 CHECK(rows.size() == 1);
                 ledger_host fresh(rows);
                 const turn_id wanted{"t1"};
@@ -431,16 +431,16 @@
                 runtime_clock::advance(seconds(20));
                 co_await first.ledger.commit(one, 5, seconds(60), later(seconds(1)));
                 runtime_clock::advance(seconds(55));
-                co_await second.ledger.removeOldRows();
+                co_await second.ledger.removeExpiredRows();
                 ledger_host fresh(rows);
                 const turn_id wanted{"t1"};
                 const auto found
                     = co_await fresh.ledger.load(nobody, program, wanted, later(seconds(1)));
                 CHECK(found);
                 runtime_clock::advance(seconds(20));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 // The other daemon's entry of the index stays.
-                CHECK(rows.read(turn_rows::ofProgram(program)).rows.empty());
+                CHECK(rows.read(turn_rows::programRange(program)).rows.empty());
             };
             runPaused(context, story());
         }
@@ -455,10 +455,10 @@
         {
             auto story = [&]() -> awaitable<void> {
                 const turn_ptr a = co_await w.runUsual(first.ledger, "t1", nullptr);
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 CHECK(rows.size() == 3);
                 runtime_clock::advance(seconds(75));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 CHECK(rows.size() == 0);
             };
             runPaused(context, story());
@@ -473,7 +473,7 @@
                 runtime_clock::advance(seconds(50));
                 co_await w.runUsual(second.ledger, "t2", a);
                 runtime_clock::advance(seconds(25));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 ledger_host fresh(rows);
                 const turn_id wanted{"t2"};
                 const auto found
@@ -507,7 +507,7 @@
                 const turn_claim other = claimFor("t2", {"p2"}, 1000, 50);
                 const turn_ptr b = co_await runTurn(second.ledger, other, a, 10);
                 runtime_clock::advance(seconds(25));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 co_await w.runUsual(second.ledger, "t3", b);
                 const std::string read = co_await loadAfresh("t3");
                 CHECK(read == "in-t1;out-t1\nin-t2;out-t2\nin-t3;out-t3\n");
@@ -524,7 +524,7 @@
                 const auto a = co_await second.ledger.load(nobody, program, t1, later(seconds(1)));
                 REQUIRE(a);
                 runtime_clock::advance(seconds(25));
-                co_await first.ledger.removeOldRows();
+                co_await first.ledger.removeExpiredRows();
                 co_await w.runUsual(second.ledger, "t2", *a);
                 const std::string read = co_await loadAfresh("t2");
                 CHECK(read == "in-t1;out-t1\nin-t2;out-t2\n");
@@ -559,7 +559,7 @@
                 const store_version before = rows.version();
                 co_await w.runUsual(first.ledger, "t3", b);
                 for (const char *id : {"t1", "t2"}) {
-                    const row_name piece = turn_rows::firstPiece(program, {id});
+                    const row_name piece = turn_rows::firstChunk(program, {id});
                     row_range range{piece.table, piece.part, piece.key, piece.key + '\0'};
                     CHECK(rows.read(range).rows.at(0).version <= before);
                 }
@@ -585,7 +585,7 @@
 
         SUBCASE("the reservation took effect and its answer was lost: it is not held twice")
         {
-            plan = {store_fault::LostAfter};
+            plan = {store_fault::ResponseDropped};
             auto story = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const turn_ptr t = co_await runTurn(host.ledger, one, nullptr, 20);
@@ -597,7 +597,7 @@
 
         SUBCASE("the commit took effect and its answer was lost: it is not charged twice")
         {
-            plan = {store_fault::None, store_fault::LostAfter};
+            plan = {store_fault::None, store_fault::ResponseDropped};
             auto story = [&]() -> awaitable<void> {
                 const turn_claim one = claimFor("t1", program, 100, 60);
                 const turn_ptr t = co_await runTurn(host.ledger, one, nullptr, 20);
--- a/test/logic/capacity_growth_test.cpp
+++ b/test/logic/capacity_growth_test.cpp
@@ -80,7 +80,7 @@
 }
 
 /// \returns what the daemon writes for the next turn of \p id, as the book decides it.
-journal_batch batchOfTurn(const program_book &book, const program_id &id, std::int64_t turn)
+journal_batch batchOfTurn(const program_registry &book, const program_id &id, std::int64_t turn)
 {
     const auto decision = book.decide(makeRequest(id, turn), 1);
     REQUIRE(decision);
@@ -151,7 +151,7 @@
     }
     SUBCASE("a turn's batch does not grow with the turns before it")
     {
-        program_book book;
+        program_registry book;
         const program_id id = numberedProgram(1);
         book.apply(makeCreated(id));
         std::vector<sample> bytes;
@@ -168,7 +168,7 @@
     {
         std::vector<sample> bytes;
         for (const int turns : {4, 15, 60, 120}) {
-            program_book book;
+            program_registry book;
             const program_id id = numberedProgram(1);
             book.apply(makeCreated(id));
             for (int turn = 1; turn <= turns; ++turn) {
@@ -184,7 +184,7 @@
     }
     SUBCASE("a program that moved away leaves nothing behind")
     {
-        program_book book;
+        program_registry book;
         for (int i = 0; i < 1000; ++i)
             book.apply(makeCreated(numberedProgram(i)));
         for (int i = 0; i < 1000; ++i)
--- a/test/logic/service_gate_test.cpp
+++ b/test/logic/concurrency_limiter_test.cpp
@@ -1,4 +1,4 @@
-#include "replicas/service_gate.h"
+#include "replicas/concurrency_limiter.h"
 
 #include <doctest/doctest.h>
 
@@ -12,10 +12,10 @@
 }
 
 /// \brief Fills the gate. \returns how many requests it let in.
-int fill(service_gate &gate, std::uint64_t firstNumber = 1000)
+int fill(concurrency_limiter &gate, std::uint64_t firstNumber = 1000)
 {
     int inside = 0;
-    gate_ticket ticket;
+    admission_request ticket;
     for (ticket.number = firstNumber; gate.enter(ticket); ++ticket.number)
         ++inside;
     gate.withdraw(ticket.number);
@@ -28,18 +28,19 @@
 {
     TEST_CASE("those that wait go by rank, and by what their programs can still win")
     {
-        service_gate gate;
-        gate.setEngines({1, 8});
+        concurrency_limiter gate;
+        gate.setEngineCapacity({1, 8});
         fill(gate);
-        const auto wait = [&](std::uint64_t number, int rank, program_hope hope, duration slack) {
-            CHECK_FALSE(gate.enter({number, rank, hope, slack}));
-        };
-        wait(1, 0, program_hope::Lost, seconds(-9));
-        wait(2, 1, program_hope::Late, seconds(-1));
-        wait(3, 1, program_hope::OnTime, seconds(3));
-        wait(4, 1, program_hope::OnTime, seconds(1));
-        wait(5, 0, program_hope::Late, seconds(-1));
-        wait(6, 0, program_hope::OnTime, seconds(5));
+        const auto wait
+            = [&](std::uint64_t number, int rank, deadline_feasibility hope, duration slack) {
+                  CHECK_FALSE(gate.enter({number, rank, hope, slack}));
+              };
+        wait(1, 0, deadline_feasibility::Lost, seconds(-9));
+        wait(2, 1, deadline_feasibility::Late, seconds(-1));
+        wait(3, 1, deadline_feasibility::OnTime, seconds(3));
+        wait(4, 1, deadline_feasibility::OnTime, seconds(1));
+        wait(5, 0, deadline_feasibility::Late, seconds(-1));
+        wait(6, 0, deadline_feasibility::OnTime, seconds(5));
 
         std::vector<std::uint64_t> order;
         for (int i = 0; i < 6; ++i) {
@@ -57,21 +58,21 @@
         // refused try after try. Each try waited behind every turn of a program that was on time,
         // and more of those came than places became free. One program's tries on two daemons:
         // "hope":"late","waited_ms":1447, then 719, then 294, none granted.
-        service_gate gate;
-        gate.setEngines({1, 8});
+        concurrency_limiter gate;
+        gate.setEngineCapacity({1, 8});
         std::uint64_t number = 1;
         fill(gate);
-        const auto join = [&](program_hope hope) {
+        const auto join = [&](deadline_feasibility hope) {
             CHECK_FALSE(gate.enter({++number, 1, hope, seconds(1)}));
             return number;
         };
         for (int i = 0; i < 20; ++i)
-            join(program_hope::OnTime);
+            join(deadline_feasibility::OnTime);
         constexpr int placesDuringFirstTry = 12;
         bool isGranted = false;
-        const std::uint64_t late = join(program_hope::Late);
+        const std::uint64_t late = join(deadline_feasibility::Late);
         for (int i = 0; i < placesDuringFirstTry; ++i) {
-            join(program_hope::OnTime);
+            join(deadline_feasibility::OnTime);
             gate.leave();
             for (const std::uint64_t granted : gate.take())
                 isGranted = isGranted || granted == late;
@@ -84,16 +85,16 @@
         // After a power loss beside slow replicas, programs that went on from before it were
         // refused to the end of the recovery: 17 of 20 in eight tries, all of them on time. In the
         // same seconds first turns of the same rank got 118 places of 424 that they asked for.
-        service_gate gate;
-        gate.setEngines({1, 8});
+        concurrency_limiter gate;
+        gate.setEngineCapacity({1, 8});
         fill(gate);
-        const auto wait = [&](std::uint64_t number, program_hope hope, bool continues) {
+        const auto wait = [&](std::uint64_t number, deadline_feasibility hope, bool continues) {
             CHECK_FALSE(gate.enter({number, 1, hope, seconds(1), continues}));
         };
-        wait(1, program_hope::OnTime, false);
-        wait(2, program_hope::OnTime, true);
-        wait(3, program_hope::Late, true);
-        wait(4, program_hope::Lost, true);
+        wait(1, deadline_feasibility::OnTime, false);
+        wait(2, deadline_feasibility::OnTime, true);
+        wait(3, deadline_feasibility::Late, true);
+        wait(4, deadline_feasibility::Lost, true);
         std::vector<std::uint64_t> order;
         for (int i = 0; i < 4; ++i) {
             gate.leave();
@@ -106,11 +107,11 @@
 
     TEST_CASE("a request that gives up waiting is passed over")
     {
-        service_gate gate;
-        gate.setEngines({1, 8});
+        concurrency_limiter gate;
+        gate.setEngineCapacity({1, 8});
         fill(gate);
-        CHECK_FALSE(gate.enter({1, 0, program_hope::OnTime, seconds(1)}));
-        CHECK_FALSE(gate.enter({2, 0, program_hope::OnTime, seconds(2)}));
+        CHECK_FALSE(gate.enter({1, 0, deadline_feasibility::OnTime, seconds(1)}));
+        CHECK_FALSE(gate.enter({2, 0, deadline_feasibility::OnTime, seconds(2)}));
         CHECK(gate.withdraw(1));
         gate.leave();
         CHECK(gate.take() == std::vector<std::uint64_t>{2});
@@ -118,9 +119,9 @@
 
     TEST_CASE("the bound follows the pace of the engines")
     {
-        service_gate gate;
-        gate.setEngines({18, 18 * 96});
-        gate.setPart(1.0 / 9);
+        concurrency_limiter gate;
+        gate.setEngineCapacity({18, 18 * 96});
+        gate.setLimitShare(1.0 / 9);
         int ms = 0;
         for (int i = 0; i < 30; ++i)
             gate.onPace(10, at(ms += 50));
@@ -149,13 +150,13 @@
         // All daemons had just started again when a burst came. Half of its requests waited for up
         // to 1.6 seconds at engines that were a third full: the bound began at what slower engines
         // bear and grew by a tenth in a quarter of a second.
-        service_gate gate;
+        concurrency_limiter gate;
         // The replicas become known one after the other.
-        gate.setEngines({0, 0});
-        gate.setEngines({2, 2 * 16});
-        gate.setPart(1.0 / 5);
-        gate.setEngines({9, 9 * 16});
-        gate.setPart(1.0 / 13);
+        gate.setEngineCapacity({0, 0});
+        gate.setEngineCapacity({2, 2 * 16});
+        gate.setLimitShare(1.0 / 5);
+        gate.setEngineCapacity({9, 9 * 16});
+        gate.setLimitShare(1.0 / 13);
         CHECK(fill(gate) >= 11);
 
         SUBCASE("the bound stays at what their slots hold, as the engine's own queue knows no rank")
@@ -172,10 +173,10 @@
     TEST_CASE("the bound is shared by the daemons, however many there are")
     {
         for (const auto &[replicas, daemons] : {std::pair{18, 9}, {72, 87}, {4, 90}, {60, 3}}) {
-            service_gate gate;
+            concurrency_limiter gate;
             constexpr int slots = 6;
-            gate.setEngines({replicas, slots * replicas});
-            gate.setPart(1.0 / daemons);
+            gate.setEngineCapacity({replicas, slots * replicas});
+            gate.setLimitShare(1.0 / daemons);
             const int inside = fill(gate);
             CHECK(inside >= 1);
             CHECK(inside <= 1 + double(slots) * replicas / daemons);
--- a/test/logic/place_words_test.cpp
+++ b/test/logic/concurrency_reports_test.cpp
@@ -17,20 +17,21 @@
 /// up to a round of gossip to be told, takes two or three rounds, and a round to be taken in.
 constexpr int sweepMs = 50;
 constexpr int roundMs = 200;
-constexpr int lagRounds = 3;
+constexpr int gossipDelayRounds = 3;
 
 /// \brief Daemons before the same engines that hear each other's words some rounds late, as they
 /// run: parts from their own demand of the moment at each sweep, bounds agreed on each round.
-class daemons_with_lag
+class delayed_gossip_daemons
 {
 public:
-    explicit daemons_with_lag(int count) : gates(std::size_t(count)), m_open(gates.size(), replicas)
+    explicit delayed_gossip_daemons(int count)
+        : gates(std::size_t(count)), m_open(gates.size(), replicas)
     {
-        told.assign(lagRounds + 1, words());
+        told.assign(gossipDelayRounds + 1, words());
     }
 
     /// \brief The daemon doubts all replicas, or has not read them.
-    void hideReplicas(int daemon) { m_open[std::size_t(daemon)] = 0; }
+    void disableReplicas(int daemon) { m_open[std::size_t(daemon)] = 0; }
 
     void step(int ms)
     {
@@ -41,8 +42,8 @@
                 gates[d].hear(others(d));
         }
         for (std::size_t d = 0; d < gates.size(); ++d) {
-            service_gate &gate = gates[d];
-            gate.setEngines({m_open[d], m_open[d] * slots});
+            concurrency_limiter &gate = gates[d];
+            gate.setEngineCapacity({m_open[d], m_open[d] * slots});
             gate.take();
         }
     }
@@ -50,7 +51,7 @@
     int inside() const
     {
         int sum = 0;
-        for (const service_gate &gate : gates)
+        for (const concurrency_limiter &gate : gates)
             sum += gate.inside();
         return sum;
     }
@@ -58,24 +59,24 @@
     void want(std::size_t daemon, int count)
     {
         for (int i = 0; i < count; ++i)
-            gates[daemon].enter({++m_lastTicket, 1, program_hope::OnTime, seconds(1)});
+            gates[daemon].enter({++m_lastTicket, 1, deadline_feasibility::OnTime, seconds(1)});
     }
 
-    std::vector<service_gate> gates;
-    std::deque<std::vector<place_word>> told;
+    std::vector<concurrency_limiter> gates;
+    std::deque<std::vector<concurrency_report>> told;
 
 private:
-    std::vector<place_word> words()
+    std::vector<concurrency_report> words()
     {
-        std::vector<place_word> all;
-        for (service_gate &gate : gates)
+        std::vector<concurrency_report> all;
+        for (concurrency_limiter &gate : gates)
             all.push_back(gate.tell());
         return all;
     }
 
-    std::vector<place_word> others(std::size_t daemon) const
+    std::vector<concurrency_report> others(std::size_t daemon) const
     {
-        std::vector<place_word> words = told.front();
+        std::vector<concurrency_report> words = told.front();
         words.erase(words.begin() + std::ptrdiff_t(daemon));
         return words;
     }
@@ -88,11 +89,11 @@
 /// requests came to an eleventh one that is cut off; nothing comes to it if it is not.
 /// \param isCutOff whether the eleventh doubts all replicas, or has not read them, and so can't use
 /// the places that it asks for.
-service_gate otherGate(bool isCutOff)
+concurrency_limiter otherLimiter(bool isCutOff)
 {
-    daemons_with_lag all(11);
+    delayed_gossip_daemons all(11);
     if (isCutOff)
-        all.hideReplicas(0);
+        all.disableReplicas(0);
     constexpr int burstMs = 3000;
     for (int ms = 0; ms < burstMs + 6000; ms += sweepMs) {
         if (ms == burstMs)
@@ -109,7 +110,7 @@
 /// \returns after how many milliseconds of slow events the first daemon's bound has halved.
 int msUntilHalved(int count)
 {
-    daemons_with_lag all(count);
+    delayed_gossip_daemons all(count);
     int ms = 0;
     const auto play = [&](double pace) {
         for (std::size_t d = 0; d < all.gates.size(); ++d)
@@ -140,7 +141,7 @@
             const int each = burst.second;
             CAPTURE(count);
             CAPTURE(each);
-            daemons_with_lag all(count);
+            delayed_gossip_daemons all(count);
             for (int ms = 0; ms < 1000; ms += sweepMs)
                 all.step(ms);
             for (std::size_t d = 0; d < all.gates.size(); ++d)
@@ -157,8 +158,8 @@
 
     TEST_CASE("a daemon that may use no replica holds back no other")
     {
-        const service_gate usual = otherGate(false);
-        const service_gate besideCutOff = otherGate(true);
+        const concurrency_limiter usual = otherLimiter(false);
+        const concurrency_limiter besideCutOff = otherLimiter(true);
         CHECK(besideCutOff.word().perReplica > 0.9 * usual.word().perReplica);
         CHECK(besideCutOff.limit() > 0.9 * usual.limit());
     }
@@ -176,15 +177,15 @@
         // The second one tells no finish of its program, so it comes after all that tell one.
         for (const auto &[rank, slack] :
              {std::pair{2, duration(seconds(1))}, {1, duration::max()}}) {
-            service_gate gate;
-            gate.setEngines({1, 8});
+            concurrency_limiter gate;
+            gate.setEngineCapacity({1, 8});
             std::uint64_t number = 1;
-            while (gate.enter({++number, 1, program_hope::OnTime, seconds(1)})) { }
+            while (gate.enter({++number, 1, deadline_feasibility::OnTime, seconds(1)})) { }
             const std::uint64_t passed = ++number;
-            CHECK_FALSE(gate.enter({passed, rank, program_hope::OnTime, slack}));
+            CHECK_FALSE(gate.enter({passed, rank, deadline_feasibility::OnTime, slack}));
             bool isGranted = false;
             for (int i = 0; i < 1000; ++i) {
-                gate.enter({++number, 1, program_hope::OnTime, seconds(1)});
+                gate.enter({++number, 1, deadline_feasibility::OnTime, seconds(1)});
                 gate.leave();
                 for (const std::uint64_t granted : gate.take())
                     isGranted = isGranted || granted == passed;
@@ -198,16 +199,16 @@
         // The later tries of a turn wait for 128, 63 and 13 ms, in which a daemon with 24 places
         // grants four, two and none. Each try begins to count anew.
         constexpr int placesDuringTry = 6;
-        service_gate gate;
-        gate.setEngines({1, 8});
+        concurrency_limiter gate;
+        gate.setEngineCapacity({1, 8});
         std::uint64_t number = 1;
-        while (gate.enter({++number, 1, program_hope::OnTime, seconds(1)})) { }
+        while (gate.enter({++number, 1, deadline_feasibility::OnTime, seconds(1)})) { }
         int granted = 0;
         for (int i = 0; i < 50; ++i) {
             const std::uint64_t late = ++number;
-            gate.enter({late, 1, program_hope::Late, seconds(-1)});
+            gate.enter({late, 1, deadline_feasibility::Late, seconds(-1)});
             for (int k = 0; k < placesDuringTry; ++k) {
-                gate.enter({++number, 1, program_hope::OnTime, seconds(1)});
+                gate.enter({++number, 1, deadline_feasibility::OnTime, seconds(1)});
                 gate.leave();
                 for (const std::uint64_t one : gate.take())
                     granted += one == late ? 1 : 0;
--- a/test/logic/engine_model.h
+++ b/test/logic/engine_model.h
@@ -23,7 +23,7 @@
 };
 
 /// \brief What a modelled engine tells of a request.
-struct engine_news
+struct engine_event
 {
     std::uint64_t number = 0;
     bool isFirstToken = false;
@@ -36,7 +36,7 @@
 class engine_model
 {
 public:
-    struct engine_figures
+    struct engine_parameters
     {
         std::size_t slots = 16;
         double stepMs = 3.17;
@@ -45,23 +45,23 @@
         std::int64_t memoryTokens = 123'284;
     };
 
-    explicit engine_model(const engine_figures &figures) : m_figures(figures) { }
+    explicit engine_model(const engine_parameters &figures) : m_figures(figures) { }
 
     void add(const engine_request &request) { m_waiting.push_back({request, 0, 0, false}); }
 
     /// \brief Lets a millisecond pass. \returns the first tokens and the ends in it.
-    std::vector<engine_news> passMillisecond()
+    std::vector<engine_event> passMillisecond()
     {
-        std::vector<engine_news> news;
-        m_leftOfStep -= 1;
-        while (m_leftOfStep <= 0) {
+        std::vector<engine_event> news;
+        m_msLeftInStep -= 1;
+        while (m_msLeftInStep <= 0) {
             finishStep(news);
             admit();
             if (m_running.empty()) {
-                m_leftOfStep = 0;
+                m_msLeftInStep = 0;
                 break;
             }
-            m_leftOfStep += beginStep();
+            m_msLeftInStep += beginStep();
         }
         return news;
     }
@@ -122,7 +122,7 @@
         }
         return m_figures.stepMs + read / m_figures.readTokensPerMs;
     }
-    void finishStep(std::vector<engine_news> &news)
+    void finishStep(std::vector<engine_event> &news)
     {
         for (running_request &r : m_running) {
             if (r.unread > 0)
@@ -157,12 +157,12 @@
         }
     }
 
-    engine_figures m_figures;
+    engine_parameters m_figures;
     std::deque<running_request> m_waiting;
     std::vector<running_request> m_running;
     std::map<std::string, cached_part> m_cache;
     std::int64_t m_clock = 0;
-    double m_leftOfStep = 0;
+    double m_msLeftInStep = 0;
 };
 
 } // namespace azurehill::test
--- a/test/logic/failing_replicas_replay_test.cpp
+++ b/test/logic/failing_replicas_replay_test.cpp
@@ -16,10 +16,10 @@
 constexpr duration answerTime = milliseconds(400);
 
 /// \brief Daemons before the engines of one service; some of these fail all that they get.
-class failing_world
+class failing_replicas_replay
 {
 public:
-    failing_world(int daemons, int replicas, int failing, bool failureIsAnswer)
+    failing_replicas_replay(int daemons, int replicas, int failing, bool failureIsAnswer)
         : m_failing(failing), m_failureIsAnswer(failureIsAnswer)
     {
         std::vector<replica_entry> entries;
@@ -27,9 +27,9 @@
         for (int i = 0; i < replicas; ++i)
             entries.push_back({{{id(i)}, 1}, "model", {"10.0.0.1", 80}, {"dc"}, 16, false, 1});
         for (int i = 0; i < daemons; ++i) {
-            m_boards.emplace_back(data_centre_id{"dc"}, std::uint64_t(i + 1));
-            m_boards.back().setReplicas(entries, m_now);
-            m_boards.back().setDaemons(daemons);
+            m_balancers.emplace_back(data_centre_id{"dc"}, std::uint64_t(i + 1));
+            m_balancers.back().setReplicas(entries, m_now);
+            m_balancers.back().setDaemons(daemons);
         }
     }
 
@@ -45,13 +45,13 @@
             finish();
             for (due += perSecond * std::chrono::duration<double>(step).count(); due >= 1; due -= 1)
                 send();
-            if (m_now >= m_toldAt + milliseconds(200))
+            if (m_now >= m_lastGossipAt + milliseconds(200))
                 gossip();
         }
     }
     /// \returns the replicas that the first daemon may send to.
-    int openAtFirst() const { return m_boards.front().open("model", m_now); }
-    int sentToFailing() const { return m_toFailing; }
+    int availableAtFirstDaemon() const { return m_balancers.front().open("model", m_now); }
+    int sentToFailing() const { return m_sentToFailing; }
 
     int sent = 0;
     int failed = 0;
@@ -67,26 +67,26 @@
     };
 
     static std::string id(int i) { return "i" + std::to_string(i); }
-    bool isBad(const placement &p) const
+    bool failsAt(const placement &p) const
     {
         return m_isFailing && std::stoi(p.replica.incarnation.id.value.substr(1)) < m_failing;
     }
 
     void send()
     {
-        const std::size_t board = m_random() % m_boards.size();
+        const std::size_t board = m_random() % m_balancers.size();
         placement_request wanted;
         wanted.service = "model";
         wanted.promptTokens = 3000;
         wanted.parts = {{"shared", 2500}, {"own" + std::to_string(m_random()), 500}};
-        const auto where = m_boards[board].choose(wanted, m_now);
+        const auto where = m_balancers[board].choose(wanted, m_now);
         if (!where)
             return;
-        m_boards[board].onSent(*where, wanted, m_now);
-        const bool fails = isBad(*where);
+        m_balancers[board].onSent(*where, wanted, m_now);
+        const bool fails = failsAt(*where);
         ++sent;
         failed += fails ? 1 : 0;
-        m_toFailing += fails ? 1 : 0;
+        m_sentToFailing += fails ? 1 : 0;
         m_underWay.push_back(
             {board, *where, wanted, m_now + (fails ? failureTime : answerTime), fails});
     }
@@ -96,11 +96,11 @@
         std::erase_if(m_underWay, [this](const request &r) {
             if (r.doneAt > m_now)
                 return false;
-            replica_board &board = m_boards[r.board];
+            replica_load_balancer &board = m_balancers[r.board];
             const bool isAnswer = !r.fails || m_failureIsAnswer;
             if (isAnswer)
                 board.onFirstByte(r.where, r.wanted, r.fails ? failureTime : answerTime / 4, m_now);
-            board.onDone(r.where, isAnswer ? send_end::Answered : send_end::Failed, m_now);
+            board.onDone(r.where, isAnswer ? send_outcome::Answered : send_outcome::Failed, m_now);
             return true;
         });
     }
@@ -108,14 +108,14 @@
     /// \brief Each daemon hears a third of the others.
     void gossip()
     {
-        m_toldAt = m_now;
-        std::vector<replica_words> told;
-        told.reserve(m_boards.size());
-        for (const replica_board &board : m_boards)
+        m_lastGossipAt = m_now;
+        std::vector<replica_reports> told;
+        told.reserve(m_balancers.size());
+        for (const replica_load_balancer &board : m_balancers)
             told.push_back(board.tell(m_now));
-        for (replica_board &board : m_boards) {
-            std::vector<replica_words> heard;
-            for (const replica_words &words : told) {
+        for (replica_load_balancer &board : m_balancers) {
+            std::vector<replica_reports> heard;
+            for (const replica_reports &words : told) {
                 if (!words.empty() && m_random() % 3 == 0)
                     heard.push_back(words);
             }
@@ -126,12 +126,12 @@
     int m_failing;
     bool m_failureIsAnswer;
     bool m_isFailing = false;
-    std::deque<replica_board> m_boards;
+    std::deque<replica_load_balancer> m_balancers;
     std::vector<request> m_underWay;
     std::minstd_rand m_random{7};
     time_point m_now{seconds(1000)};
-    time_point m_toldAt;
-    int m_toFailing = 0;
+    time_point m_lastGossipAt;
+    int m_sentToFailing = 0;
 };
 
 } // namespace
@@ -141,7 +141,7 @@
 {
     for (const int daemons : {3, 30, 88, 300}) {
         INFO(daemons);
-        failing_world world(daemons, 71, 8, false);
+        failing_replicas_replay world(daemons, 71, 8, false);
         world.play(seconds(5), 300, false);
         REQUIRE(world.failed == 0);
         world.play(seconds(7), 300, true);
@@ -154,7 +154,7 @@
 {
     for (const int daemons : {3, 30, 88, 300}) {
         INFO(daemons);
-        failing_world world(daemons, 71, 8, false);
+        failing_replicas_replay world(daemons, 71, 8, false);
         world.play(seconds(3), 300, false);
         world.play(seconds(3), 300, true);
         world.play(seconds(8), 300, false);
@@ -166,7 +166,7 @@
 
 TEST_CASE("failures that count as answers draw more than an even share of the load")
 {
-    failing_world world(88, 71, 8, true);
+    failing_replicas_replay world(88, 71, 8, true);
     world.play(seconds(5), 300, false);
     world.play(seconds(7), 300, true);
     CHECK(world.failed * 9 > world.sent);
@@ -175,10 +175,10 @@
 // Guards against a bad route or program that puts out good replicas.
 TEST_CASE("requests that fail everywhere put out no replicas")
 {
-    failing_world world(3, 20, 20, false);
+    failing_replicas_replay world(3, 20, 20, false);
     world.play(seconds(2), 100, false);
     world.play(seconds(3), 100, true);
-    CHECK(world.openAtFirst() * 3 >= 20 * 2);
+    CHECK(world.availableAtFirstDaemon() * 3 >= 20 * 2);
 }
 
 } // namespace azurehill
--- a/test/logic/place_division_replay_test.cpp
+++ b/test/logic/place_division_replay_test.cpp
@@ -14,14 +14,14 @@
 
 /// \brief Daemons with a gate each before the same engines, and callers that stay with the daemon
 /// that they found first. Time passes in steps of ten milliseconds.
-class places_replay
+class limiters_replay
 {
 public:
     static constexpr int daemons = 11;
     static constexpr int replicas = 18;
     static constexpr int slots = 96;
 
-    places_replay() : m_gates(daemons), m_told(daemons) { divide(); }
+    limiters_replay() : m_gates(daemons), m_told(daemons) { divide(); }
 
     /// \brief Adds programs whose callers stay with \p daemon.
     void addPrograms(int daemon, int count)
@@ -39,7 +39,7 @@
         for (m_now = 0; m_now < 1000 * seconds; m_now += stepMs) {
             for (const auto &[program, what] : std::exchange(m_events[m_now], {}))
                 happen(program, what);
-            if (m_now % toldEveryMs == 0)
+            if (m_now % gossipIntervalMs == 0)
                 divide();
             for (int d = 0; d < daemons; ++d)
                 grant(d);
@@ -49,15 +49,15 @@
     int turns = 0;
     int refused = 0;
     /// The most refusals in a row of one turn.
-    int mostInRow = 0;
+    int maxRefusalsInRow = 0;
 
 private:
     static constexpr int stepMs = 10;
     /// Daemons know each other's demand as it was one to two rounds of this long ago.
-    static constexpr int toldEveryMs = 200;
+    static constexpr int gossipIntervalMs = 200;
     static constexpr int answerMs = 700;
     static constexpr int pauseMs = 100;
-    static constexpr int clientPatienceMs = 6000;
+    static constexpr int clientTimeoutMs = 6000;
     static constexpr double gatePatience = 0.4;
     static constexpr int comeBackMs = 300;
 
@@ -75,16 +75,16 @@
     void divide()
     {
         for (int d = 0; d < daemons; ++d) {
-            std::vector<place_word> others = m_told;
+            std::vector<concurrency_report> others = m_told;
             others.erase(others.begin() + d);
-            m_gates[std::size_t(d)].setEngines({replicas, replicas * slots});
+            m_gates[std::size_t(d)].setEngineCapacity({replicas, replicas * slots});
             m_gates[std::size_t(d)].hear(others);
         }
         for (int d = 0; d < daemons; ++d)
             m_told[std::size_t(d)] = m_gates[std::size_t(d)].tell();
     }
 
-    service_gate &gateOf(const program_state &p) { return m_gates[std::size_t(p.daemon)]; }
+    concurrency_limiter &gateOf(const program_state &p) { return m_gates[std::size_t(p.daemon)]; }
 
     void happen(std::size_t number, step what)
     {
@@ -101,8 +101,8 @@
     {
         program_state &p = m_programs[number];
         if (p.deadline <= m_now)
-            p.deadline = m_now + clientPatienceMs;
-        gate_ticket ticket;
+            p.deadline = m_now + clientTimeoutMs;
+        admission_request ticket;
         ticket.number = ++m_lastTicket;
         ticket.slack = milliseconds(p.deadline - m_now);
         p.ticket = ticket.number;
@@ -138,7 +138,7 @@
         program_state &p = m_programs[number];
         ++refused;
         ++p.refusedInRow;
-        mostInRow = std::max(mostInRow, p.refusedInRow);
+        maxRefusalsInRow = std::max(maxRefusalsInRow, p.refusedInRow);
         m_events[m_now + comeBackMs].push_back({number, step::Try});
     }
 
@@ -148,8 +148,8 @@
             begin(m_byTicket.at(ticket));
     }
 
-    std::vector<service_gate> m_gates;
-    std::vector<place_word> m_told;
+    std::vector<concurrency_limiter> m_gates;
+    std::vector<concurrency_report> m_told;
     std::vector<program_state> m_programs;
     std::map<int, std::vector<std::pair<std::size_t, step>>> m_events;
     std::map<std::uint64_t, std::size_t> m_byTicket;
@@ -168,14 +168,14 @@
         // had answered the callers' look-ups and kept nearly half of them, and an eleventh of the
         // places: "waiting":78,"limit":24.1, 2,388 ms of waiting and then 503, while four others
         // had 8 to 14 turns a second, limits of 13 to 23 and nobody waiting.
-        places_replay replay;
+        limiters_replay replay;
         replay.addPrograms(0, 90);
-        for (int d = 1; d < places_replay::daemons; ++d)
+        for (int d = 1; d < limiters_replay::daemons; ++d)
             replay.addPrograms(d, 10);
         replay.play(13);
         CHECK(replay.turns > 2000);
         CHECK(replay.refused < replay.turns / 100);
-        CHECK(replay.mostInRow <= 1);
+        CHECK(replay.maxRefusalsInRow <= 1);
     }
 
     TEST_CASE("daemons before the same engines agree on what a replica bears")
@@ -189,17 +189,17 @@
         constexpr double idlePace = 10;
         constexpr double slowPace = 36;
         constexpr double usualPace = 24;
-        std::vector<service_gate> gates(daemons);
-        for (service_gate &gate : gates) {
-            gate.setEngines({replicas, replicas * 96});
-            gate.setPart(1.0 / daemons);
+        std::vector<concurrency_limiter> gates(daemons);
+        for (concurrency_limiter &gate : gates) {
+            gate.setEngineCapacity({replicas, replicas * 96});
+            gate.setLimitShare(1.0 / daemons);
             gate.onPace(idlePace, time_point());
         }
         std::uint64_t ticket = 0;
         for (int ms = 0; ms < 10'000; ms += 50) {
-            for (service_gate &gate : gates) {
+            for (concurrency_limiter &gate : gates) {
                 while (gate.waiting() < 4)
-                    gate.enter({++ticket, 1, program_hope::OnTime, seconds(1)});
+                    gate.enter({++ticket, 1, deadline_feasibility::OnTime, seconds(1)});
                 const bool isUnlucky = &gate == &gates.front();
                 const time_point now(milliseconds(1'000'000 + ms));
                 gate.onPace(isUnlucky ? slowPace : usualPace, now);
@@ -207,26 +207,28 @@
             }
             if (ms % 200 != 0)
                 continue;
-            std::vector<place_word> told;
+            std::vector<concurrency_report> told;
             told.reserve(gates.size());
-            for (service_gate &gate : gates)
+            for (concurrency_limiter &gate : gates)
                 told.push_back(gate.tell());
             for (std::size_t d = 0; d < gates.size(); ++d) {
-                std::vector<place_word> others = told;
+                std::vector<concurrency_report> others = told;
                 others.erase(others.begin() + std::ptrdiff_t(d));
                 gates[d].hear(others);
             }
         }
-        const auto [least, most] = std::minmax_element(
-            gates.begin(), gates.end(),
-            [](const service_gate &a, const service_gate &b) { return a.limit() < b.limit(); });
+        const auto [least, most]
+            = std::minmax_element(gates.begin(), gates.end(),
+                                  [](const concurrency_limiter &a, const concurrency_limiter &b) {
+                                      return a.limit() < b.limit();
+                                  });
         CHECK(most->limit() < 1.3 * least->limit());
     }
 
     TEST_CASE("callers that are spread evenly find the same places as ever")
     {
-        places_replay replay;
-        for (int d = 0; d < places_replay::daemons; ++d)
+        limiters_replay replay;
+        for (int d = 0; d < limiters_replay::daemons; ++d)
             replay.addPrograms(d, 20);
         replay.play(13);
         CHECK(replay.turns > 2900);
--- a/test/logic/place_division_test.cpp
+++ b/test/logic/place_division_test.cpp
@@ -14,35 +14,36 @@
 namespace {
 
 /// \returns the parts of all daemons, each of which has heard all others.
-std::vector<double> partsOf(const std::vector<place_word> &words, double places)
+std::vector<double> partsOf(const std::vector<concurrency_report> &words, double places)
 {
     std::vector<double> parts;
     for (std::size_t d = 0; d < words.size(); ++d) {
-        std::vector<place_word> others = words;
+        std::vector<concurrency_report> others = words;
         others.erase(others.begin() + std::ptrdiff_t(d));
-        parts.push_back(placePart(words[d].wanted, others, places));
+        parts.push_back(concurrencyShare(words[d].wanted, others, places));
     }
     return parts;
 }
 
-constexpr double usualPlaces = 288;
+constexpr double usualLimit = 288;
 
-/// \returns the parts of usualPlaces, given what each daemon wants.
+/// \returns the parts of usualLimit, given what each daemon wants.
 std::vector<double> partsOf(const std::vector<double> &wanted)
 {
-    std::vector<place_word> words;
+    std::vector<concurrency_report> words;
     words.reserve(wanted.size());
     for (const double w : wanted)
         words.push_back({.wanted = w});
-    return partsOf(words, usualPlaces);
+    return partsOf(words, usualLimit);
 }
 
 /// \returns a gate whose places are all taken.
-service_gate fullGate()
+concurrency_limiter fullLimiter()
 {
-    service_gate gate;
-    gate.setEngines({1, 1});
-    for (int i = 0; gate.enter({std::uint64_t(10'000 + i), 1, program_hope::OnTime, seconds(1)});)
+    concurrency_limiter gate;
+    gate.setEngineCapacity({1, 1});
+    for (int i = 0;
+         gate.enter({std::uint64_t(10'000 + i), 1, deadline_feasibility::OnTime, seconds(1)});)
         ++i;
     for (std::uint64_t n = 10'000; n < 10'100; ++n)
         gate.withdraw(n);
@@ -58,7 +59,7 @@
         CHECK(rc::check("any demands, any number of places", [] {
             const int daemons = *rc::gen::inRange(1, 100);
             const double places = *rc::gen::inRange(0, 10'000);
-            std::vector<place_word> words;
+            std::vector<concurrency_report> words;
             words.reserve(std::size_t(daemons));
             for (int d = 0; d < daemons; ++d)
                 words.push_back({.wanted = double(*rc::gen::inRange(0, 500))});
@@ -94,30 +95,38 @@
     {
         SUBCASE("by the requests behind each word")
         {
-            CHECK(agreedPerReplica({1, 1, 1, 4}, std::vector<place_word>{{77, 77, 1, 20}}) > 19);
-            CHECK(agreedPerReplica({77, 77, 1, 4}, std::vector<place_word>{{1, 1, 1, 20}}) < 5);
+            CHECK(mergedLimitPerReplica({1, 1, 1, 4},
+                                        std::vector<concurrency_report>{{77, 77, 1, 20}})
+                  > 19);
+            CHECK(mergedLimitPerReplica({77, 77, 1, 4},
+                                        std::vector<concurrency_report>{{1, 1, 1, 20}})
+                  < 5);
         }
         SUBCASE("and one that has learned nothing takes what the others say")
         {
-            CHECK(agreedPerReplica({50, 9, 0, 0}, std::vector<place_word>{{3, 3, 1, 17}}) == 17);
-            CHECK(agreedPerReplica({50, 9, 0, 0}, std::vector<place_word>{{3, 3, 1, 0}}) == 0);
+            CHECK(
+                mergedLimitPerReplica({50, 9, 0, 0}, std::vector<concurrency_report>{{3, 3, 1, 17}})
+                == 17);
+            CHECK(
+                mergedLimitPerReplica({50, 9, 0, 0}, std::vector<concurrency_report>{{3, 3, 1, 0}})
+                == 0);
         }
         SUBCASE("never beyond what one of them holds to be right")
         {
             CHECK(rc::check("any words", [] {
-                std::vector<place_word> words;
+                std::vector<concurrency_report> words;
                 const int daemons = *rc::gen::inRange(2, 40);
                 words.reserve(std::size_t(daemons));
                 for (int d = 0; d < daemons; ++d) {
                     words.push_back({.inside = double(*rc::gen::inRange(0, 500)),
                                      .perReplica = double(*rc::gen::inRange(1, 100))});
                 }
-                const place_word own = words.back();
+                const concurrency_report own = words.back();
                 words.pop_back();
-                const double agreed = agreedPerReplica(own, words);
+                const double agreed = mergedLimitPerReplica(own, words);
                 double least = own.perReplica;
                 double most = own.perReplica;
-                for (const place_word &w : words) {
+                for (const concurrency_report &w : words) {
                     least = std::min(least, w.perReplica);
                     most = std::max(most, w.perReplica);
                 }
@@ -139,9 +148,9 @@
     TEST_CASE("while places suffice, each gets what it wants and an even part of the rest")
     {
         const std::vector<double> parts = partsOf({90, 10, 0, 0});
-        CHECK(parts[0] * usualPlaces == doctest::Approx(90 + 47));
-        CHECK(parts[1] * usualPlaces == doctest::Approx(10 + 47));
-        CHECK(parts[2] * usualPlaces == doctest::Approx(47));
+        CHECK(parts[0] * usualLimit == doctest::Approx(90 + 47));
+        CHECK(parts[1] * usualLimit == doctest::Approx(10 + 47));
+        CHECK(parts[2] * usualLimit == doctest::Approx(47));
     }
 
     TEST_CASE("where places are short, nine tenths go by what is wanted and none is left without")
@@ -154,10 +163,11 @@
 
     TEST_CASE("what is agreed goes by the requests behind each word, and by no word unlearned")
     {
-        CHECK(agreedPerReplica({}, {}) == 0);
-        CHECK(agreedPerReplica({5, 5, 1, 12}, {}) == doctest::Approx(12));
-        const std::vector<place_word> others = {{120, 99, 1, 20}, {500, 500, 1, 0}};
-        CHECK(agreedPerReplica({0, 0, 1, 10}, others) == doctest::Approx((10 + 100 * 20) / 101.0));
+        CHECK(mergedLimitPerReplica({}, {}) == 0);
+        CHECK(mergedLimitPerReplica({5, 5, 1, 12}, {}) == doctest::Approx(12));
+        const std::vector<concurrency_report> others = {{120, 99, 1, 20}, {500, 500, 1, 0}};
+        CHECK(mergedLimitPerReplica({0, 0, 1, 10}, others)
+              == doctest::Approx((10 + 100 * 20) / 101.0));
     }
 
     TEST_CASE(
@@ -170,16 +180,16 @@
         constexpr std::size_t heardOfEach = 36;
         constexpr double places = 2000;
         std::minstd_rand random(3);
-        std::vector<place_word> words(daemons);
+        std::vector<concurrency_report> words(daemons);
         for (std::size_t d = 0; d < daemons; ++d)
             words[d].wanted = d % 3 == 0 ? 15 : 5;
         double sum = 0;
         for (std::size_t d = 0; d < daemons; ++d) {
-            std::vector<place_word> others = words;
+            std::vector<concurrency_report> others = words;
             others.erase(others.begin() + std::ptrdiff_t(d));
             std::shuffle(others.begin(), others.end(), random);
             others.resize(heardOfEach);
-            const double part = placePart(words[d].wanted, {others, daemons - 1}, places);
+            const double part = concurrencyShare(words[d].wanted, {others, daemons - 1}, places);
             const double fair = words[d].wanted / 2500;
             CHECK(part > fair / 2);
             CHECK(part < fair * 2);
@@ -190,7 +200,7 @@
 
         SUBCASE("and evenly where nobody was heard yet")
         {
-            CHECK(placePart(50, {std::span<const place_word>(), 9}, places)
+            CHECK(concurrencyShare(50, {std::span<const concurrency_report>(), 9}, places)
                   == doctest::Approx(0.1));
         }
     }
@@ -198,9 +208,9 @@
     TEST_CASE("an agreed bound stays within what a daemon would learn itself")
     {
         for (const auto &[told, bound] : {std::pair{0.1, 3.0}, {12.0, 12.0}, {9999.0, 20.0}}) {
-            service_gate gate;
-            gate.setEngines({18, 18 * 16});
-            const std::vector<place_word> others = {{1e5, 1e5, 1, told}};
+            concurrency_limiter gate;
+            gate.setEngineCapacity({18, 18 * 16});
+            const std::vector<concurrency_report> others = {{1e5, 1e5, 1, told}};
             gate.hear(others);
             CHECK(gate.limit() == doctest::Approx(bound * 18 * gate.part()).epsilon(0.01));
         }
@@ -208,23 +218,23 @@
 
     TEST_CASE("a gate tells those that wait as well as those inside")
     {
-        service_gate gate = fullGate();
+        concurrency_limiter gate = fullLimiter();
         const int inside = gate.inside();
-        gate.enter({1, 1, program_hope::OnTime, seconds(1)});
-        gate.enter({2, 1, program_hope::Late, seconds(1)});
+        gate.enter({1, 1, deadline_feasibility::OnTime, seconds(1)});
+        gate.enter({2, 1, deadline_feasibility::Late, seconds(1)});
         CHECK(gate.word().wanted == inside + 2);
     }
 
     TEST_CASE("late programs' turns get one place in four at the most while others wait")
     {
-        service_gate gate = fullGate();
+        concurrency_limiter gate = fullLimiter();
         std::uint64_t number = 0;
         for (int i = 0; i < 100; ++i)
-            gate.enter({++number, 1, program_hope::Late, seconds(1)});
+            gate.enter({++number, 1, deadline_feasibility::Late, seconds(1)});
         const std::uint64_t lastLate = number;
         int late = 0;
         for (int i = 0; i < 100; ++i) {
-            gate.enter({++number, 1, program_hope::OnTime, seconds(1)});
+            gate.enter({++number, 1, deadline_feasibility::OnTime, seconds(1)});
             gate.leave();
             for (const std::uint64_t granted : gate.take())
                 late += granted <= lastLate ? 1 : 0;
@@ -235,10 +245,10 @@
 
     TEST_CASE("a late program's turn that gave up waiting gets no place")
     {
-        service_gate gate = fullGate();
-        gate.enter({1, 1, program_hope::Late, seconds(1)});
+        concurrency_limiter gate = fullLimiter();
+        gate.enter({1, 1, deadline_feasibility::Late, seconds(1)});
         for (std::uint64_t n = 2; n < 40; ++n)
-            gate.enter({n, 1, program_hope::OnTime, seconds(1)});
+            gate.enter({n, 1, deadline_feasibility::OnTime, seconds(1)});
         CHECK(gate.withdraw(1));
         for (int i = 0; i < 30; ++i) {
             gate.leave();
--- a/test/logic/placement_replay_test.cpp
+++ b/test/logic/placement_replay_test.cpp
@@ -37,10 +37,10 @@
             m_engines.emplace(id, engine_model({}));
         }
         for (int i = 0; i < daemons; ++i) {
-            m_boards.emplace_back(data_centre_id{"here"}, std::uint64_t(i + 1), mechanisms);
-            m_boards.back().setReplicas(listed, at(0));
-            m_boards.back().setDaemons(daemons);
-            m_boards.back().setCacheTokens("model", 123'284);
+            m_balancers.emplace_back(data_centre_id{"here"}, std::uint64_t(i + 1), mechanisms);
+            m_balancers.back().setReplicas(listed, at(0));
+            m_balancers.back().setDaemons(daemons);
+            m_balancers.back().setCacheTokens("model", 123'284);
         }
     }
 
@@ -55,7 +55,7 @@
             for (const std::size_t number : std::exchange(m_turnsAt[m_now], {}))
                 beginTurn(number);
             for (auto &[id, engine] : m_engines) {
-                for (const engine_news &news : engine.passMillisecond())
+                for (const engine_event &news : engine.passMillisecond())
                     take(news);
             }
             if (m_now % 1000 == 0)
@@ -92,11 +92,11 @@
         m_programs.emplace_back();
         beginTurn(m_programs.size() - 1);
     }
-    replica_board &boardOf(std::size_t number)
+    replica_load_balancer &balancerOf(std::size_t number)
     {
         // Another daemon for each turn, as clients choose them by chance.
         const std::size_t turn = std::size_t(m_programs.at(number).turns);
-        return m_boards.at((7 * number + 5 * turn) % daemons);
+        return m_balancers.at((7 * number + 5 * turn) % daemons);
     }
     void beginTurn(std::size_t number)
     {
@@ -116,23 +116,23 @@
             p.asked.lastReplica = p.last;
             p.asked.lastTokens = p.turns > 0 ? sharedTokens + p.history : 0;
         }
-        p.where = *boardOf(number).choose(p.asked, at(m_now));
+        p.where = *balancerOf(number).choose(p.asked, at(m_now));
         p.sentAt = m_now;
-        boardOf(number).onSent(p.where, p.asked, at(m_now));
+        balancerOf(number).onSent(p.where, p.asked, at(m_now));
         m_engines.at(p.where.replica.incarnation.id)
             .add({number, subject, session, sharedTokens, p.history, inputTokens, outputTokens});
     }
-    void take(const engine_news &news)
+    void take(const engine_event &news)
     {
         program_state &p = m_programs.at(news.number);
-        replica_board &board = boardOf(news.number);
+        replica_load_balancer &board = balancerOf(news.number);
         if (news.isFirstToken) {
             p.firstAt = m_now;
             board.onFirstByte(p.where, p.asked, milliseconds(m_now - p.sentAt), at(m_now));
         }
         if (!news.isEnd)
             return;
-        board.onDone(p.where, send_end::Answered, at(m_now));
+        board.onDone(p.where, send_outcome::Answered, at(m_now));
         m_paces.push_back(double(m_now - p.firstAt) / (outputTokens - 1));
         p.last = p.where.replica.incarnation;
         p.history += inputTokens + outputTokens;
@@ -155,7 +155,7 @@
 
     bool m_callersHistory;
     std::map<upstream_id, engine_model> m_engines;
-    std::vector<replica_board> m_boards;
+    std::vector<replica_load_balancer> m_balancers;
     std::deque<program_state> m_programs;
     std::map<int, std::vector<std::size_t>> m_turnsAt;
     std::vector<double> m_paces;
--- a/test/logic/program_book_test.cpp
+++ b/test/logic/program_registry_test.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t classTurns = 6;
 constexpr std::int64_t deadlineMs = 1'000'000;
 
-bool sameState(const program_book &a, const program_book &b)
+bool sameState(const program_registry &a, const program_registry &b)
 {
     if (a.programs().size() != b.programs().size())
         return false;
@@ -31,7 +31,7 @@
 /// A family of programs, their callers, the journal, and the daemon that dies now and then.
 struct family_model
 {
-    program_book book;
+    program_registry book;
     std::vector<journal_record> durable;
     std::vector<journal_record> pending;
     std::vector<program_id> ids;
@@ -69,7 +69,7 @@
         c.budgetTokens = ids.empty() ? 3000 : 500 + luck % 3000;
         c.deadlineUnixMs = deadlineMs;
         c.maxTurns = classTurns;
-        const auto may = book.mayCreate(c, nowMs);
+        const auto may = book.checkCreation(c, nowMs);
         RC_ASSERT(may.has_value() || book.find(c.parent)->ended || nowMs >= deadlineMs);
         if (!may)
             return;
@@ -96,7 +96,7 @@
             RC_ASSERT(replay->call.key == r.key);
         } else if (const auto *attach = std::get_if<attach_to_call>(&*decision)) {
             RC_ASSERT(attach->call.key == r.key);
-        } else if (std::holds_alternative<wait_for_turn>(*decision)) {
+        } else if (std::holds_alternative<wait_for_previous_turn>(*decision)) {
             RC_ASSERT(before.open && before.open->turn + 1 == r.turn);
         } else {
             RC_ASSERT(!before.open && r.turn == before.lastTurn + 1 && r.turn <= classTurns);
@@ -136,7 +136,7 @@
     {
         pending.clear();
         running.clear();
-        program_book next;
+        program_registry next;
         for (const journal_record &r : durable) {
             auto read = recordFromJson(toJson(r));
             RC_ASSERT(read.has_value());
@@ -185,7 +185,7 @@
         }
         for (const auto &[call, times] : sent)
             RC_ASSERT(times == 1);
-        program_book replayed;
+        program_registry replayed;
         for (const journal_record &r : durable)
             replayed.apply(r);
         if (pending.empty())
@@ -234,7 +234,7 @@
 
 TEST_CASE("What a program may spend")
 {
-    program_book book;
+    program_registry book;
     book.apply(root(1000));
     const program_id parent{"p00"};
     const program_id child{"p00.1"};
@@ -272,7 +272,7 @@
 {
     // The parent ends while the sub-agent's creation waits for its commit; a sub-agent that lived
     // on would hold engine memory with nobody to end it.
-    program_book book;
+    program_registry book;
     book.apply(root(1000));
     book.apply(program_ended{{"p00"}, end_reason::Finished});
     program_created c;
@@ -284,7 +284,7 @@
 
 TEST_CASE("A key goes out once")
 {
-    program_book book;
+    program_registry book;
     book.apply(root(1000));
     const program_id id{"p00"};
     book.apply(call_begun{id, 1, "k", call_kind::Tool, false, 0});
@@ -312,7 +312,7 @@
 
 TEST_CASE("Limits of the class")
 {
-    program_book book;
+    program_registry book;
     program_created c = root(1000);
     c.maxTurns = 1;
     c.deadlineUnixMs = 50;
--- a/test/logic/release_test.cpp
+++ b/test/logic/release_test.cpp
@@ -15,7 +15,7 @@
 /// Programs of one daemon, two engines with memory, and a network that loses answers.
 struct release_model
 {
-    program_book book;
+    program_registry book;
     release_planner planner;
     std::vector<journal_record> durable;
     std::map<upstream_id, std::set<program_id>> memory;
@@ -103,7 +103,7 @@
         }
         return ids;
     }
-    int heldForNobody() const
+    int cachedEndedPrograms() const
     {
         int count = 0;
         for (const auto &[engine, programs] : memory) {
@@ -151,7 +151,7 @@
     for (const auto &[id, p] : m.book.programs())
         RC_ASSERT(!p.ended || p.engines.empty());
     if (reconciles)
-        RC_ASSERT(m.heldForNobody() == 0);
+        RC_ASSERT(m.cachedEndedPrograms() == 0);
 }
 
 program_created idleAfter(const char *id, std::int64_t idleMs)
@@ -172,7 +172,7 @@
                    true);
     }));
 
-    program_book book;
+    program_registry book;
     release_planner planner;
     book.apply(idleAfter("p0", 0));
     book.apply(call_begun{{"p0"}, 1, "k", call_kind::Model, true, 1, engines[0]});
@@ -187,8 +187,8 @@
     SUBCASE("an engine that left the host list took its memory along, but the list is late")
     {
         book.apply(call_finished{{"p0"}, 1, "k", 1, 200, "", ""});
-        planner.onEngines({engines[0]}, time_point(seconds(10)));
-        planner.onEngines({engines[1]}, time_point(seconds(100)));
+        planner.onListedEngines({engines[0]}, time_point(seconds(10)));
+        planner.onListedEngines({engines[1]}, time_point(seconds(100)));
         CHECK(planner.gone(book, time_point(seconds(100))).empty());
         CHECK(planner.gone(book, time_point(seconds(131))).size() == 1);
     }
@@ -196,7 +196,7 @@
 
 TEST_CASE("A program that never says that it ends")
 {
-    program_book book;
+    program_registry book;
     program_reaper reaper;
     book.apply(idleAfter("p0", 1000));
     const auto at = [](int ms) { return time_point(milliseconds(ms)); };
--- a/test/logic/replica_board_test.cpp
+++ b/test/logic/replica_load_balancer_test.cpp
@@ -26,7 +26,7 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-std::string chosen(replica_board &board, const placement_request &request, time_point now)
+std::string chosen(replica_load_balancer &board, const placement_request &request, time_point now)
 {
     const auto p = board.choose(request, now);
     return p ? p->replica.incarnation.id.value : "none";
@@ -38,13 +38,13 @@
 {
     TEST_CASE("a prompt goes where its beginning was read")
     {
-        replica_board board({"here"}, 1);
+        replica_load_balancer board({"here"}, 1);
         board.setReplicas({entry("a"), entry("b"), entry("c")}, at(0));
         const placement_request request = prompt({{"system", 2000}, {"own", 500}});
         const auto first = board.choose(request, at(0));
         REQUIRE(first);
         board.onSent(*first, request, at(0));
-        board.onDone(*first, send_end::Answered, at(100));
+        board.onDone(*first, send_outcome::Answered, at(100));
         for (int i = 0; i < 10; ++i)
             CHECK(chosen(board, request, at(200)) == first->replica.incarnation.id.value);
 
@@ -60,7 +60,7 @@
             for (int i = 0; i < 10; ++i) {
                 const placement_request other = prompt({{"other" + std::to_string(i), 1000}});
                 board.onSent(*first, other, at(300));
-                board.onDone(*first, send_end::Answered, at(300));
+                board.onDone(*first, send_outcome::Answered, at(300));
             }
             const auto p = board.choose(request, at(400));
             REQUIRE(p);
@@ -70,7 +70,7 @@
 
     TEST_CASE("a replica that leaves gets nothing more")
     {
-        replica_board board({"here"}, 1);
+        replica_load_balancer board({"here"}, 1);
         replica_entry leaving = entry("a");
         board.setReplicas({leaving, entry("b")}, at(0));
 
@@ -97,12 +97,12 @@
 
     TEST_CASE("a replica that can't be reached is left out and tried again later")
     {
-        replica_board board({"here"}, 1);
+        replica_load_balancer board({"here"}, 1);
         board.setReplicas({entry("a"), entry("b", "far")}, at(0));
         REQUIRE(chosen(board, prompt({}), at(0)) == "a");
         const auto p = board.choose(prompt({}), at(0));
         board.onSent(*p, prompt({}), at(0));
-        board.onDone(*p, send_end::Unreachable, at(300));
+        board.onDone(*p, send_outcome::Unreachable, at(300));
         CHECK(chosen(board, prompt({}), at(400)) == "b");
 
         SUBCASE("after a while one request tries it, and no other meanwhile")
@@ -112,7 +112,7 @@
             CHECK(trial->replica.incarnation.id.value == "a");
             board.onSent(*trial, prompt({}), at(900));
             CHECK(chosen(board, prompt({}), at(950)) == "b");
-            board.onDone(*trial, send_end::Answered, at(1000));
+            board.onDone(*trial, send_outcome::Answered, at(1000));
             CHECK(chosen(board, prompt({}), at(1010)) == "a");
         }
         SUBCASE("it is better than none")
@@ -125,23 +125,23 @@
 
     TEST_CASE("a few broken answers are no reason to leave a replica out, several in a row are")
     {
-        replica_board board({"here"}, 1);
+        replica_load_balancer board({"here"}, 1);
         board.setReplicas({entry("a"), entry("b", "far")}, at(0));
         const auto p = board.choose(prompt({}), at(0));
         for (int i = 0; i < 3; ++i) {
             board.onSent(*p, prompt({}), at(0));
-            board.onDone(*p, send_end::Broken, at(0));
+            board.onDone(*p, send_outcome::Broken, at(0));
         }
         CHECK(chosen(board, prompt({}), at(0)) == "a");
         board.onSent(*p, prompt({}), at(0));
-        board.onDone(*p, send_end::Broken, at(0));
+        board.onDone(*p, send_outcome::Broken, at(0));
         CHECK(chosen(board, prompt({}), at(0)) == "b");
     }
 
     TEST_CASE("the time to read a prompt is learned, whatever the engine")
     {
         for (const double msPerToken : {0.01, 0.2}) {
-            wait_estimate wait;
+            first_byte_time_estimator wait;
             for (int i = 0; i < 400; ++i) {
                 const double tokens = 200.0 * (i % 20);
                 wait.add(tokens, 50 + msPerToken * tokens);
@@ -154,7 +154,7 @@
     TEST_CASE("replicas of few and of many slots are filled alike")
     {
         for (const int slots : {2, 96}) {
-            replica_board board({"here"}, 1);
+            replica_load_balancer board({"here"}, 1);
             board.setReplicas({entry("a", "here", slots), entry("b", "here", slots)}, at(0));
             std::map<std::string, int> count;
             for (int i = 0; i < 2 * slots; ++i) {
--- a/test/logic/replica_restart_test.cpp
+++ b/test/logic/replica_restart_test.cpp
@@ -26,10 +26,10 @@
     return time_point(milliseconds(1'000'000 + ms));
 }
 
-std::int64_t chosenBirth(replica_board &board, int ms)
+std::int64_t chosenStart(replica_load_balancer &board, int ms)
 {
     const auto p = board.choose(request(), at(ms));
-    return p ? p->replica.incarnation.bornUnixMs : -1;
+    return p ? p->replica.incarnation.startedUnixMs : -1;
 }
 
 } // namespace
@@ -41,7 +41,7 @@
     // had drained before the crash got no work for the rest of the day.
     TEST_CASE("a replica that starts again under its id begins with nothing")
     {
-        replica_board board({"here"}, 1);
+        replica_load_balancer board({"here"}, 1);
         board.setReplicas({entry("a", 100)}, at(0));
         const auto first = board.choose(request(), at(0));
         REQUIRE(first);
@@ -49,7 +49,7 @@
 
         SUBCASE("what its old process had read is gone")
         {
-            board.onDone(*first, send_end::Answered, at(100));
+            board.onDone(*first, send_outcome::Answered, at(100));
             REQUIRE(board.choose(request(), at(200))->cachedTokens == 2500);
             board.setReplicas({entry("a", 200)}, at(300));
             CHECK(board.choose(request(), at(400))->cachedTokens == 0);
@@ -64,7 +64,7 @@
             board.setReplicas({entry("a", 200)}, at(300));
             CHECK(board.choose(next, at(400))->cachedTokens == 0);
             // Rows of earlier daemons don't tell which process answered.
-            next.lastReplica.bornUnixMs = 0;
+            next.lastReplica.startedUnixMs = 0;
             CHECK(board.choose(next, at(400))->cachedTokens == 0);
         }
         SUBCASE("work under way at the old process is not the new one's")
@@ -75,7 +75,7 @@
             CHECK(second->outstanding == 0);
             board.onSent(*second, request(), at(400));
             // The old request ends only now, and badly: it says nothing of the new process.
-            board.onDone(*first, send_end::Unreachable, at(500));
+            board.onDone(*first, send_outcome::Unreachable, at(500));
             CHECK(board.choose(request(), at(600))->outstanding == 1);
             CHECK(board.doubted() == 0);
         }
@@ -89,24 +89,24 @@
         }
         SUBCASE("doubts go with the process that gave rise to them")
         {
-            board.onDone(*first, send_end::Unreachable, at(100));
+            board.onDone(*first, send_outcome::Unreachable, at(100));
             REQUIRE(board.doubted() == 1);
             board.setReplicas({entry("a", 200)}, at(300));
             CHECK(board.doubted() == 0);
-            CHECK(board.lastHeard(first->replica.incarnation) == time_point());
+            CHECK(board.lastReceivedAt(first->replica.incarnation) == time_point());
         }
         SUBCASE("draining ends with the process that drained")
         {
             board.setReplicas({entry("a", 100, true)}, at(100));
-            REQUIRE(chosenBirth(board, 150) == -1);
+            REQUIRE(chosenStart(board, 150) == -1);
             board.setReplicas({entry("a", 200)}, at(200));
-            CHECK(chosenBirth(board, 250) == 200);
+            CHECK(chosenStart(board, 250) == 200);
         }
         SUBCASE("another replica at its old address says nothing of the new process")
         {
             board.setReplicas({entry("a", 200)}, at(100));
             board.setLeaving(first->replica.incarnation);
-            CHECK(chosenBirth(board, 150) == 200);
+            CHECK(chosenStart(board, 150) == 200);
         }
         SUBCASE("the process that is over is told once, so that its connections go")
         {
@@ -120,23 +120,23 @@
 
     TEST_CASE("entries that are read out of order change nothing")
     {
-        replica_board board({"here"}, 1);
+        replica_load_balancer board({"here"}, 1);
 
         SUBCASE("the old process's entry after the new one's")
         {
             board.setReplicas({entry("a", 200)}, at(0));
             CHECK(board.setReplicas({entry("a", 100, true)}, at(100)).empty());
-            CHECK(chosenBirth(board, 150) == 200);
+            CHECK(chosenStart(board, 150) == 200);
             // One that tells no start is older than any that does.
             board.setReplicas({entry("a", 0, true)}, at(200));
-            CHECK(chosenBirth(board, 250) == 200);
+            CHECK(chosenStart(board, 250) == 200);
         }
         SUBCASE("two starts within a heartbeat, the one between them last")
         {
             board.setReplicas({entry("a", 100)}, at(0));
             board.setReplicas({entry("a", 300)}, at(100));
             board.setReplicas({entry("a", 200, true)}, at(200));
-            CHECK(chosenBirth(board, 250) == 300);
+            CHECK(chosenStart(board, 250) == 300);
         }
         SUBCASE("an older entry of the same process: draining stays, its address too")
         {
@@ -147,7 +147,7 @@
             CHECK(board.choose(request(), at(150))->replica.address.port == 81);
             board.setReplicas({entry("a", 100, true, 6)}, at(200));
             board.setReplicas({entry("a", 100, false, 5)}, at(300));
-            CHECK(chosenBirth(board, 350) == -1);
+            CHECK(chosenStart(board, 350) == -1);
         }
         SUBCASE("without a start a lower number may be a new process: it is taken in")
         {
--- a/test/logic/sched_admission_test.cpp
+++ b/test/logic/sched_admission_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_CASE("New programs are refused when they would not be finished in time")
 {
-    const sched_knobs knobs;
+    const scheduler_parameters knobs;
     admission a(knobs, 1);
     program_request request;
     request.programClass = "lesson";
@@ -19,21 +19,21 @@
     }
     SUBCASE("when the replicas are full, with a time to come back")
     {
-        const auto again = a.refuse(request, {knobs.fullPressure + 0.5, 0, 0});
+        const auto again = a.refuse(request, {knobs.maxCallsPerSlot + 0.5, 0, 0});
         REQUIRE(again);
         CHECK(*again > duration::zero());
         CHECK(*again <= seconds(30));
     }
     SUBCASE("earlier for a tenant above its share")
     {
-        CHECK(a.refuse(request, {knobs.sharePressure + 0.1, 0.5, 0}));
-        CHECK_FALSE(a.refuse(request, {knobs.sharePressure + 0.1, 0, 0}));
+        CHECK(a.refuse(request, {knobs.fairShareCallsPerSlot + 0.1, 0.5, 0}));
+        CHECK_FALSE(a.refuse(request, {knobs.fairShareCallsPerSlot + 0.1, 0, 0}));
     }
     SUBCASE("when programs of the class take longer than their limit under pressure")
     {
         a.onProgramEnd("lesson", seconds(90));
-        CHECK(a.refuse(request, {knobs.sharePressure + 0.1, 0, 0}));
-        CHECK_FALSE(a.refuse(request, {knobs.sharePressure - 0.1, 0, 0}));
+        CHECK(a.refuse(request, {knobs.fairShareCallsPerSlot + 0.1, 0, 0}));
+        CHECK_FALSE(a.refuse(request, {knobs.fairShareCallsPerSlot - 0.1, 0, 0}));
     }
     SUBCASE("when the tenant has as many programs as it may")
     {
--- a/test/logic/sched_replica_health_test.cpp
+++ b/test/logic/sched_replica_health_test.cpp
@@ -9,7 +9,7 @@
 {
     replica_health health;
     for (int i = 0; i < 20; ++i)
-        health.onGoodEnd(1, 1, at(0));
+        health.onSuccess(1, 1, at(0));
 
     SUBCASE("three failures in a row open the circuit, two don't")
     {
@@ -27,7 +27,7 @@
             health.onSent(0, at(7));
             CHECK_FALSE(health.mayTake(0, at(7.5)));
             for (int i = 0; i < 5; ++i)
-                health.onGoodEnd(0, 1, at(8));
+                health.onSuccess(0, 1, at(8));
             CHECK(health.state(0, at(8)) == circuit::Closed);
         }
         SUBCASE("a failure while it returns opens it for longer")
@@ -40,7 +40,7 @@
     SUBCASE("an outlier is ejected")
     {
         for (int i = 0; i < 4; ++i)
-            health.onGoodEnd(0, 10, at(1));
+            health.onSuccess(0, 10, at(1));
         CHECK(health.state(0, at(2)) == circuit::Open);
         CHECK(health.mayTake(1, at(2)));
     }
@@ -57,8 +57,8 @@
 {
     replica_health health;
     for (int i = 0; i < 2000; ++i)
-        health.onGoodEnd(1, 0.1, at(0));
+        health.onSuccess(1, 0.1, at(0));
     for (int i = 0; i < 5; ++i)
-        health.onGoodEnd(0, 0.1, at(1));
+        health.onSuccess(0, 0.1, at(1));
     CHECK(health.state(0, at(1)) == circuit::Closed);
 }
--- a/test/logic/sched_scheduler_test.cpp
+++ b/test/logic/sched_scheduler_test.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-sched_knobs smallKnobs()
+scheduler_parameters singleSlotParameters()
 {
-    sched_knobs knobs;
+    scheduler_parameters knobs;
     knobs.slotsPerReplica = 1;
-    knobs.callsAhead = 0;
+    knobs.maxEngineQueue = 0;
     return knobs;
 }
 
@@ -31,7 +31,7 @@
 
 TEST_CASE("Calls beyond the room of the replicas wait in order")
 {
-    scheduler s(smallKnobs(), {"here"}, 1);
+    scheduler s(singleSlotParameters(), {"here"}, 1);
     s.setReplicas({listed("a")}, at(0));
     for (const char *id : {"p1", "p2", "p3"})
         s.startProgram(programOf(id), at(0));
@@ -77,7 +77,7 @@
     }
     SUBCASE("the tokens in flight of a replica are bounded, but one call always fits")
     {
-        sched_knobs knobs;
+        scheduler_parameters knobs;
         knobs.tokensInFlightPerReplica = 1500;
         scheduler bounded(knobs, {"here"}, 1);
         bounded.setReplicas({listed("a")}, at(0));
@@ -93,7 +93,7 @@
 // sending it work, and calls that waited for it were refused as well.
 TEST_CASE("A leaving replica gets nothing more at its first sign, and waiting calls move")
 {
-    scheduler s(smallKnobs(), {"here"}, 1);
+    scheduler s(singleSlotParameters(), {"here"}, 1);
     s.setReplicas({listed("a")}, at(0));
     s.submit(callOf(1, "p1"), at(0));
     s.submit(callOf(2, "p2"), at(0));
@@ -128,7 +128,7 @@
 
 TEST_CASE("A call that did not run moves to another replica within the budget")
 {
-    scheduler s(smallKnobs(), {"here"}, 1);
+    scheduler s(singleSlotParameters(), {"here"}, 1);
     s.setReplicas({listed("a")}, at(0));
     s.submit(callOf(1, "p1"), at(0));
     dispatched(s);
@@ -182,7 +182,7 @@
 TEST_CASE("Every call is dispatched or refused exactly once")
 {
     CHECK(rc::check([](const std::vector<std::uint8_t> &steps) {
-        scheduler s(smallKnobs(), {"here"}, 1);
+        scheduler s(singleSlotParameters(), {"here"}, 1);
         s.setReplicas({listed("a"), listed("b")}, at(0));
         std::map<call_number, int> answers;
         std::vector<call_number> running;
--- a/test/logic/store_overload_replay_test.cpp
+++ b/test/logic/store_overload_replay_test.cpp
@@ -56,7 +56,7 @@
         for (int ms = 0; ms < 1000 * seconds; ++ms) {
             if (m_now % 1000 == 0) {
                 programs.push_back(0);
-                inAim.push_back(0);
+                withinTarget.push_back(0);
                 calls.push_back(0);
                 failed.push_back(0);
             }
@@ -72,7 +72,7 @@
     /// By the second in which programs began: their number, and those that ended in their aim. By
     /// the second: calls of the store, and those of them that failed for a condition.
     std::vector<int> programs;
-    std::vector<int> inAim;
+    std::vector<int> withinTarget;
     std::vector<int> calls;
     std::vector<int> failed;
     /// Ends that were not durable within the client's gap.
@@ -83,7 +83,7 @@
 private:
     static constexpr int streamMs = 250;
     static constexpr int answerMs = 12;
-    static constexpr int storePatienceMs = 1500;
+    static constexpr int storeTimeoutMs = 1500;
     static constexpr int comeBackMs = 2000;
     static constexpr int mostTries = 4;
     /// 1.3 times what the program takes alone, with 46 ms a turn for the way, and 250 ms.
@@ -107,7 +107,7 @@
         bool isEnding = false;
         bool isOpen = false;
         int wantedAt = 0;
-        int givenUpAt = 0;
+        int expiresAt = 0;
         /// Of the account as this turn's daemon knows it.
         int seenVersion = 0;
     };
@@ -131,7 +131,7 @@
         program_state &program = m_programs.at(number);
         if (program.group == groups.size()) {
             if (m_now - program.beganAt <= aimMs)
-                ++inAim.at(program.second);
+                ++withinTarget.at(program.second);
             return;
         }
         program.open = groups.at(program.group++);
@@ -149,19 +149,19 @@
         turn.daemon = m_pick(m_random);
         // Daemons read the account with the turn that they go on from.
         learn(turn);
-        want(number, false, storePatienceMs);
+        want(number, false, storeTimeoutMs);
     }
 
     void learn(turn_state &turn) { turn.seenVersion = m_programs.at(turn.program).version; }
 
-    void want(std::size_t number, bool isEnding, int patienceMs)
+    void want(std::size_t number, bool isEnding, int timeoutMs)
     {
         turn_state &turn = m_turns.at(number);
         turn.isEnding = isEnding;
         turn.isOpen = true;
         turn.wantedAt = m_now;
-        turn.givenUpAt = m_now + patienceMs;
-        m_givenUp[turn.givenUpAt].push_back(number);
+        turn.expiresAt = m_now + timeoutMs;
+        m_expiring[turn.expiresAt].push_back(number);
         enqueue(number);
     }
 
@@ -174,13 +174,13 @@
         t.urgency = turn.isEnding ? write_urgency::End : write_urgency::Begin;
         t.conditions.push_back({row, turn.isEnding ? 0 : store_version(turn.seenVersion)});
         t.writes.push_back({row, "value"});
-        m_queues.at(turn.daemon).add(number, std::move(t), at(turn.givenUpAt));
+        m_queues.at(turn.daemon).add(number, std::move(t), at(turn.expiresAt));
     }
 
     void giveUp(std::size_t number)
     {
         turn_state &turn = m_turns.at(number);
-        if (!turn.isOpen || turn.givenUpAt != m_now)
+        if (!turn.isOpen || turn.expiresAt != m_now)
             return;
         turn.isOpen = false;
         m_queues.at(turn.daemon).withdraw(number);
@@ -188,7 +188,7 @@
         m_asks[m_now + (turn.isEnding ? 1 : comeBackMs)].push_back(number);
     }
 
-    bool storeTakes()
+    bool storeAccepts()
     {
         ++calls.back();
         if (m_storeCredit < 1)
@@ -204,7 +204,7 @@
 
     void call(write_queue &queue, const write_batch &batch)
     {
-        if (!storeTakes()) {
+        if (!storeAccepts()) {
             m_limited[m_now + answerMs].push_back(&queue);
             answerAll(batch, false);
             return;
@@ -255,7 +255,7 @@
             queue->onLimited(at(m_now));
         for (const answer &a : std::exchange(m_answers[m_now], {}))
             onAnswer(a);
-        for (const std::size_t number : std::exchange(m_givenUp[m_now], {}))
+        for (const std::size_t number : std::exchange(m_expiring[m_now], {}))
             giveUp(number);
         for (const std::size_t number : std::exchange(m_ends[m_now], {}))
             want(number, true, clientGapMs);
@@ -272,7 +272,7 @@
     std::deque<turn_state> m_turns;
     std::map<int, std::vector<answer>> m_answers;
     std::map<int, std::vector<write_queue *>> m_limited;
-    std::map<int, std::vector<std::size_t>> m_givenUp;
+    std::map<int, std::vector<std::size_t>> m_expiring;
     std::map<int, std::vector<std::size_t>> m_ends;
     std::map<int, std::vector<std::size_t>> m_asks;
     std::mt19937 m_random{1};
@@ -313,13 +313,13 @@
         SUBCASE("of 1.3 times its rate: half of the programs that begin in it end in their aim")
         {
             const parallel_turns_replay world = replay(975);
-            CHECK(sum(world.inAim, 4, 10) > 0.5 * sum(world.programs, 4, 10));
-            CHECK(sum(world.inAim, 15, 20) > 0.9 * sum(world.programs, 15, 20));
+            CHECK(sum(world.withinTarget, 4, 10) > 0.5 * sum(world.programs, 4, 10));
+            CHECK(sum(world.withinTarget, 15, 20) > 0.9 * sum(world.programs, 15, 20));
         }
         SUBCASE("of 1.6 times: five seconds after its end nine tenths do")
         {
             const parallel_turns_replay world = replay(1200);
-            CHECK(sum(world.inAim, 15, 20) > 0.9 * sum(world.programs, 15, 20));
+            CHECK(sum(world.withinTarget, 15, 20) > 0.9 * sum(world.programs, 15, 20));
             // What has most behind it finishes, though the store still takes begins.
             CHECK(world.endsLost == 0);
             CHECK(*std::max_element(world.endWaits.begin(), world.endWaits.end())
--- a/test/logic/table_cache_test.cpp
+++ b/test/logic/table_cache_test.cpp
@@ -53,14 +53,14 @@
         SUBCASE("so does another daemon's copy with the same rows, by the moment of the question")
         {
             const table_digest same{12, own.digest(at(0))->hash, milliseconds(50)};
-            CHECK(own.onDigest(same, at(900)) == digest_verdict::Same);
+            CHECK(own.onDigest(same, at(900)) == digest_comparison::Same);
             CHECK(own.age(at(1000)) == milliseconds(150));
             CHECK(own.version() == 12);
         }
         SUBCASE("an old answer makes it no older")
         {
             const table_digest same{8, own.digest(at(0))->hash, milliseconds(5000)};
-            CHECK(own.onDigest(same, at(900)) == digest_verdict::Same);
+            CHECK(own.onDigest(same, at(900)) == digest_comparison::Same);
             CHECK(own.age(at(1000)) == milliseconds(1000));
             CHECK(own.version() == 10);
         }
@@ -75,10 +75,10 @@
         table_cache frozen;
         frozen.onRead(page(10, {row("a", 3), row("b", 7)}), at(-5000));
         CHECK_FALSE(own.onRead(page(10, {row("a", 3), row("b", 7)}), at(100)));
-        CHECK(own.onDigest(*frozen.digest(at(100)), at(90)) == digest_verdict::Ahead);
+        CHECK(own.onDigest(*frozen.digest(at(100)), at(90)) == digest_comparison::Ahead);
         CHECK_FALSE(own.onChanges(frozen.changesSince(0, at(100)), at(90)));
         CHECK(own.rows().size() == 1);
-        CHECK(frozen.onDigest(*own.digest(at(100)), at(90)) == digest_verdict::Behind);
+        CHECK(frozen.onDigest(*own.digest(at(100)), at(90)) == digest_comparison::Behind);
         CHECK(frozen.onChanges(own.changesSince(frozen.version(), at(100)), at(90)));
         CHECK(areSame(own, frozen));
     }
@@ -162,7 +162,7 @@
             };
             const auto talk = [&](table_cache &asker, const table_cache &other) {
                 const auto digest = other.digest(at(ms));
-                if (!digest || asker.onDigest(*digest, at(ms)) != digest_verdict::Behind)
+                if (!digest || asker.onDigest(*digest, at(ms)) != digest_comparison::Behind)
                     return;
                 const table_cache before = asker;
                 if (asker.onChanges(other.changesSince(asker.version(), at(ms)), at(ms))) {
--- a/test/logic/write_queue_test.cpp
+++ b/test/logic/write_queue_test.cpp
@@ -89,7 +89,7 @@
 
 private:
     static constexpr int streamMs = 250;
-    static constexpr int patienceMs = 1500;
+    static constexpr int timeoutMs = 1500;
     static constexpr int answerMs = 8;
     static constexpr int firstPauseMs = 40;
 
@@ -97,7 +97,7 @@
     {
         std::size_t number = 0;
         bool isEnding = false;
-        int givenUpAt = 0;
+        int expiresAt = 0;
         int pauseMs = firstPauseMs;
     };
     struct happening
@@ -114,21 +114,21 @@
     void want(turn_state &turn, bool isEnding)
     {
         turn.isEnding = isEnding;
-        turn.givenUpAt = m_now + patienceMs;
+        turn.expiresAt = m_now + timeoutMs;
         if (m_isPaced)
             enqueue(turn);
         else
-            callAlone(turn);
+            sendUnpaced(turn);
     }
     void enqueue(const turn_state &turn)
     {
         const auto urgency = turn.isEnding ? write_urgency::End : write_urgency::Begin;
         m_queues.at(turn.number % daemons)
-            .add(turn.number, writeOf(std::to_string(turn.number), urgency), at(turn.givenUpAt));
+            .add(turn.number, writeOf(std::to_string(turn.number), urgency), at(turn.expiresAt));
     }
-    void callAlone(turn_state &turn)
+    void sendUnpaced(turn_state &turn)
     {
-        if (m_now >= turn.givenUpAt)
+        if (m_now >= turn.expiresAt)
             return;
         if (m_store.takes()) {
             m_later[m_now + answerMs].push_back({turn.number, true});
@@ -137,7 +137,7 @@
         m_later[m_now + turn.pauseMs].push_back({turn.number, false});
         turn.pauseMs *= 2;
     }
-    void callTogether(write_queue &queue, const write_batch &batch)
+    void sendBatch(write_queue &queue, const write_batch &batch)
     {
         const bool isDone = m_store.takes();
         if (isDone)
@@ -148,7 +148,7 @@
             turn_state &turn = m_turns.at(number);
             if (isDone)
                 m_later[m_now + answerMs].push_back({turn.number, true});
-            else if (m_now < turn.givenUpAt)
+            else if (m_now < turn.expiresAt)
                 enqueue(turn);
         }
     }
@@ -157,7 +157,7 @@
         for (const happening &h : std::exchange(m_later[m_now], {})) {
             turn_state &turn = m_turns.at(h.turn);
             if (!h.isWritten)
-                callAlone(turn);
+                sendUnpaced(turn);
             else if (turn.isEnding)
                 ++done.back();
             else
@@ -167,7 +167,7 @@
             want(m_turns.at(number), true);
         for (write_queue &queue : m_queues) {
             while (const auto batch = queue.take(at(m_now)))
-                callTogether(queue, *batch);
+                sendBatch(queue, *batch);
         }
     }
     void nextSecond()
@@ -235,7 +235,7 @@
         }
         SUBCASE("it says when the next one may go")
         {
-            const auto next = queue.nextAt();
+            const auto next = queue.nextBatchAt();
             REQUIRE(next);
             CHECK_FALSE(queue.take(*next - milliseconds(2)));
             CHECK(queue.take(*next));
