--- a/src/entry/engine_admission.cpp
+++ b/src/entry/engine_admission.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Share of its time that a request may wait for a place; beyond it, the answer could no longer
-/// come in time, and the client does better to ask again.
-constexpr double gatePatience = 0.4;
+/// Fraction of its remaining time for which a request may wait for admission. After a longer wait
+/// the answer could no longer arrive in time, and the client does better to retry.
+constexpr double admissionWaitShare = 0.4;
 
 duration admissionTimeout(duration left)
 {
-    return std::chrono::duration_cast<duration>(gatePatience * left);
+    return std::chrono::duration_cast<duration>(admissionWaitShare * left);
 }
 
 admission_request admissionTicketOf(const entry_call &call, const program_timing &times)
@@ -28,10 +28,10 @@
     if (ticket.slack > duration::zero())
         return ticket;
     ticket.slack = times.timeLeft.value_or(duration::zero());
-    // An answer within twice the program's time still earns something.
-    const bool isLost = times.timeLeft && times.timeBudget
+    // An answer within twice the program's time still has some value.
+    const bool isInfeasible = times.timeLeft && times.timeBudget
         && *times.timeLeft + *times.timeBudget < duration::zero();
-    ticket.feasibility = isLost ? deadline_feasibility::Lost : deadline_feasibility::Late;
+    ticket.feasibility = isInfeasible ? deadline_feasibility::Lost : deadline_feasibility::Late;
     return ticket;
 }
 
@@ -54,17 +54,18 @@
                  {"waited_ms", toMilliseconds(waited)}});
 }
 
-/// \returns what each daemon of \p others tells of \p service.
-std::vector<concurrency_report> reportsOf(const std::vector<concurrency_reports> &others,
+/// \returns what each report of \p reports says of \p service, and an empty entry for those that
+/// say nothing.
+std::vector<concurrency_report> reportsOf(const std::vector<concurrency_reports> &reports,
                                           const std::string &service)
 {
-    std::vector<concurrency_report> words;
-    words.reserve(others.size());
-    for (const concurrency_reports &one : others) {
-        const auto found = one.find(service);
-        words.push_back(found == one.end() ? concurrency_report() : found->second);
+    std::vector<concurrency_report> serviceReports;
+    serviceReports.reserve(reports.size());
+    for (const concurrency_reports &report : reports) {
+        const auto found = report.find(service);
+        serviceReports.push_back(found == report.end() ? concurrency_report() : found->second);
     }
-    return words;
+    return serviceReports;
 }
 
 } // namespace
@@ -89,23 +90,24 @@
     }
 }
 
-concurrency_reports engine_admission::tell()
+concurrency_reports engine_admission::makeReports()
 {
-    concurrency_reports all;
+    concurrency_reports reports;
     for (auto &[name, gate] : m_gates) {
-        const concurrency_report word = gate.publishReport();
-        // A service that nobody uses here takes no room in the message.
-        if (word.demand > 0)
-            all.emplace(name, word);
+        const concurrency_report report = gate.publishReport();
+        // Services without demand at this daemon are left out to keep the message small.
+        if (report.demand > 0)
+            reports.emplace(name, report);
     }
-    return all;
+    return reports;
 }
 
-void engine_admission::hear(const std::vector<concurrency_reports> &heard, std::size_t others)
+void engine_admission::mergeReports(const std::vector<concurrency_reports> &reports,
+                                    std::size_t otherDaemons)
 {
     for (auto &[name, gate] : m_gates) {
-        const std::vector<concurrency_report> words = reportsOf(heard, name);
-        gate.mergeReports({words, others});
+        const std::vector<concurrency_report> serviceReports = reportsOf(reports, name);
+        gate.mergeReports({serviceReports, otherDaemons});
     }
 }
 
@@ -116,11 +118,11 @@
         if (found == m_waiting.end())
             continue;
         found->second->granted = true;
-        found->second->alarm.cancel();
+        found->second->waitTimer.cancel();
     }
 }
 
-awaitable<bool> engine_admission::enter(entry_call_ptr call, program_timing times)
+awaitable<bool> engine_admission::admit(entry_call_ptr call, program_timing times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
@@ -134,24 +136,24 @@
     }
     auto wait = std::make_shared<queued_request>(m_executor);
     m_waiting[ticket.number] = wait;
-    call->admissionTimer = &wait->alarm;
+    call->admissionTimer = &wait->waitTimer;
     const time_point began = runtime_clock::now();
-    wait->alarm.expires_at(began + admissionTimeout(call->deadline - began));
+    wait->waitTimer.expires_at(began + admissionTimeout(call->deadline - began));
     boost::system::error_code code;
-    co_await wait->alarm.async_wait(asio::redirect_error(use_awaitable, code));
+    co_await wait->waitTimer.async_wait(asio::redirect_error(use_awaitable, code));
     call->admissionTimer = nullptr;
     m_waiting.erase(ticket.number);
     gate.cancelWait(ticket.number);
     call->holdsEngineSlot = wait->granted;
     const duration waited = runtime_clock::now() - began;
     logAdmission(*call, ticket, gate, wait->granted, waited);
-    m_metrics.onPhase(call->route->name, request_phase::Place, waited);
+    m_metrics.onPhase(call->route->name, request_phase::Admission, waited);
     if (call->clientDisconnected())
-        leave(*call);
+        release(*call);
     co_return wait->granted && !call->clientDisconnected();
 }
 
-void engine_admission::leave(entry_call &call)
+void engine_admission::release(entry_call &call)
 {
     const auto gate = m_gates.find(call.service);
     if (!std::exchange(call.holdsEngineSlot, false) || gate == m_gates.end())
@@ -160,7 +162,8 @@
     grant(gate->second);
 }
 
-void engine_admission::onPace(const std::string &service, double msPerEvent, time_point now)
+void engine_admission::onEventInterval(const std::string &service, double msPerEvent,
+                                       time_point now)
 {
     if (const auto gate = m_gates.find(service); gate != m_gates.end())
         gate->second.onEventInterval(msPerEvent, now);
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -12,25 +12,29 @@
 
 namespace {
 
-/// Longest wait of one call to the feed. Short, since a feed may go silent while changes are made.
+/// Maximum wait of one long-poll call to the change feed. Short, since a feed may stop delivering
+/// while changes are made.
 constexpr duration feedPollTimeout = seconds(2);
 constexpr duration feedTimeoutMargin = seconds(1);
-/// The configuration is read this often within the time in which it must be in force, beside the
-/// feed: a feed that went silent would otherwise leave the daemon with an old one.
+/// Full reads of the configuration within the time in which a new one must be in force, in addition
+/// to the feed: a feed that stopped delivering would otherwise leave the daemon with an outdated
+/// configuration.
 constexpr double configReadsPerApply = 1.3;
-/// The members' rows are read this often by any daemon. Daemons tell each other who lives; the rows
-/// only show those of whom nobody has heard, so a few readers at a time are enough for all.
+/// Read interval of the member rows, and the number of daemons that read within it. Daemons learn
+/// by gossip which members are alive; the rows only show members that no gossip has reported, so a
+/// few readers at a time are enough for all.
 constexpr duration membersReadInterval = seconds(2);
 constexpr std::size_t concurrentMemberReaders = 16;
 constexpr duration storeCallTimeout = milliseconds(1000);
 constexpr duration retryInterval = milliseconds(200);
 
-/// Lines on members that came or went in one message or round: a restart of all hosts would
-/// otherwise have each write a line on each other.
+/// Maximum number of log lines on members that joined or failed in one message or gossip round.
+/// Otherwise a restart of all hosts would make each daemon write a line on each other one.
 constexpr std::size_t maxMemberLogLines = 4;
 
 constexpr std::string_view memberTable = "members";
-/// Callers keep an answer this long. Short, so that they leave a stopped daemon soon.
+/// Maximum time to live of a look-up. Short, so that callers soon stop using a daemon that has
+/// stopped.
 constexpr duration lookupTtl = seconds(1);
 constexpr std::size_t maxAddresses = 64;
 
@@ -51,12 +55,12 @@
     return {std::string(memberTable), "", name.value};
 }
 
-time_point soon()
+time_point storeCallDeadline()
 {
     return runtime_clock::now() + storeCallTimeout;
 }
 
-duration part(duration whole, double count)
+duration fraction(duration whole, double count)
 {
     return std::chrono::duration_cast<duration>(whole / count);
 }
@@ -68,11 +72,13 @@
     : m_context(context), m_settings(settings), m_events(std::move(events)),
       m_transport(std::make_shared<peer_transport>(context.get_executor(), settings.storeAddress,
                                                    settings.mechanisms)),
-      m_store(m_transport),
-      m_readinessServer(context.get_executor(), {},
-                        [this](const http_request &r, response_writer &w) { return answer(r, w); }),
-      m_lookupServer(context.get_executor(), {},
-                     [this](const http_request &r, response_writer &w) { return answer(r, w); }),
+      m_store(m_transport), m_readinessServer(context.get_executor(), {},
+                                              [this](const http_request &r, response_writer &w) {
+                                                  return handleRequest(r, w);
+                                              }),
+      m_lookupServer(
+          context.get_executor(), {},
+          [this](const http_request &r, response_writer &w) { return handleRequest(r, w); }),
       m_peerServer(
           context.get_executor(), {},
           [this](const http_request &r, response_writer &w) { return handlePeerRequest(r, w); }),
@@ -112,14 +118,14 @@
     m_settings.seeds = settings.seeds;
 }
 
-void entry_control::setAdmissionReport(concurrency_reports words)
+void entry_control::setAdmissionReport(concurrency_reports report)
 {
-    m_membership.setDemandReports(std::move(words));
+    m_membership.setDemandReports(std::move(report));
 }
 
-void entry_control::setReplicaWords(replica_reports words)
+void entry_control::setReplicaReport(replica_reports report)
 {
-    m_membership.setReplicaReports(std::move(words));
+    m_membership.setReplicaReports(std::move(report));
 }
 
 entry_gauges entry_control::gauges() const
@@ -142,13 +148,13 @@
     send(m_membership.leave());
 }
 
-awaitable<void> entry_control::unregister(time_point latest)
+awaitable<void> entry_control::unregister(time_point deadline)
 {
     store_transaction t;
     t.removals.push_back(memberRow(m_settings.name));
-    // A silent store must not take the time in which answers end: peers drop the row's daemon
-    // without it, since it beats no more.
-    const time_point until = std::min(soon(), latest);
+    // A store that doesn't answer must not use up the time in which answers finish. Peers also drop
+    // this daemon without the removal of its row, since its heartbeats end.
+    const time_point until = std::min(storeCallDeadline(), deadline);
     const auto done = co_await m_store.transact(std::move(t), until);
     if (!done)
         logDecision(log_event::NotUnregistered, {{"detail", done.error().detail}});
@@ -156,34 +162,36 @@
 
 http_response entry_control::answerLookup()
 {
-    // A suspected daemon may have stopped; callers find enough others until that is certain.
+    // Suspected daemons are left out, since they may have stopped; callers find enough others until
+    // that is certain.
     member_list::selection all = m_membership.members().healthy();
     all.push_back(&m_membership.self());
-    std::vector<endpoint> reaching;
+    std::vector<endpoint> reachingStore;
     std::vector<endpoint> serving;
     for (const member_state *m : all) {
         if (!m->serving)
             continue;
         serving.push_back(m->clients);
         if (m->storeReachable)
-            reaching.push_back(m->clients);
+            reachingStore.push_back(m->clients);
     }
-    // A daemon that the store turns away is slower, so callers go elsewhere, unless too few would
-    // be left to carry them.
-    constexpr std::size_t enoughShare = 3;
+    // A daemon that the store rejects is slower, so callers are sent to the others, unless those
+    // are too few to carry the load.
+    constexpr std::size_t maxServingPerReaching = 3;
     std::vector<endpoint> &chosen
-        = reaching.size() * enoughShare >= serving.size() ? reaching : serving;
+        = reachingStore.size() * maxServingPerReaching >= serving.size() ? reachingStore : serving;
     if (chosen.empty())
         return encodeOwnAnswer(local_reply::Refused, "no daemon serves", retryInterval);
-    // Others by chance each time: the first by name alone would get all new callers of a system of
-    // more daemons than an answer holds, while everything else is divided among all.
+    // A random selection each time: in a system with more daemons than an answer holds, the first
+    // by name would otherwise get all new callers, while everything else is divided among all
+    // daemons.
     std::shuffle(chosen.begin(), chosen.end(), m_random);
     if (chosen.size() > maxAddresses)
         chosen.resize(maxAddresses);
     return encodeAddresses(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
 }
 
-awaitable<void> entry_control::answer(const http_request &request, response_writer &writer)
+awaitable<void> entry_control::handleRequest(const http_request &request, response_writer &writer)
 {
     http_response response;
     if (isLookup(request.path())) {
@@ -218,7 +226,7 @@
         m_unreadable.logOnce(log_event::ConfigurationUnreadable, row, book.error());
         return;
     }
-    // An older version may be read after a newer one; it must never come back into force.
+    // An older version may be read after a newer one; it must never take effect again.
     if (m_routes && (*book)->version() <= m_routes->version())
         return;
     m_routes = *book;
@@ -233,7 +241,7 @@
 awaitable<void> entry_control::readConfiguration()
 {
     row_range range = configurationRange();
-    const auto page = co_await m_store.read(std::move(range), soon());
+    const auto page = co_await m_store.read(std::move(range), storeCallDeadline());
     if (!page)
         co_return;
     for (const stored_row &row : page->rows)
@@ -244,9 +252,9 @@
 {
     while (true) {
         co_await readConfiguration();
-        const duration pause
-            = m_routes ? part(m_settings.configApply, configReadsPerApply) : retryInterval;
-        co_await sleepFor(pause);
+        const duration delay
+            = m_routes ? fraction(m_settings.configApply, configReadsPerApply) : retryInterval;
+        co_await sleepFor(delay);
     }
 }
 
@@ -256,7 +264,7 @@
     while (true) {
         if (after == 0) {
             row_range range = configurationRange();
-            const auto page = co_await m_store.read(std::move(range), soon());
+            const auto page = co_await m_store.read(std::move(range), storeCallDeadline());
             if (page) {
                 after = page->version;
                 for (const stored_row &row : page->rows)
@@ -287,9 +295,11 @@
 void entry_control::applyMemberRow(const stored_row &row)
 {
     const auto states = decodeMembers(row.value);
-    // A daemon registers itself alone, under its own name; anything else is another writer's.
+    // A daemon registers only itself, under its own name; anything else has another writer.
     if (!states || states->size() != 1 || states->front().name.value != row.name.key)
-        m_unreadable.logOnce(log_event::RowUnreadable, row, "not a member's state");
+        m_unreadable.logOnce(
+            log_event::RowUnreadable, row,
+            "the row does not hold the state of the member that it is named after");
     else
         m_membership.onStoredMember(states->front(), runtime_clock::now());
 }
@@ -297,7 +307,7 @@
 awaitable<bool> entry_control::readMembers()
 {
     row_range range{std::string(memberTable), "", "", ""};
-    const auto page = co_await m_store.read(std::move(range), soon());
+    const auto page = co_await m_store.read(std::move(range), storeCallDeadline());
     if (!page)
         co_return false;
     for (const stored_row &row : page->rows)
@@ -309,21 +319,21 @@
 {
     store_transaction t;
     t.writes.push_back({memberRow(m_settings.name), encodeMembers({m_membership.self()})});
-    const auto done = co_await m_store.transact(std::move(t), soon());
+    const auto done = co_await m_store.transact(std::move(t), storeCallDeadline());
     co_return done.has_value();
 }
 
 awaitable<void> entry_control::pollMembers()
 {
-    // The row of an earlier run is read before it is written over: this run has to tell a later
-    // start than that one, also if the host's clock went back in between.
+    // The row of an earlier run is read before it is overwritten: this run must have a later
+    // incarnation than that one, even if the host's clock was set back in between.
     bool hasRead = co_await readMembers();
     while (!hasRead) {
         co_await sleepFor(retryInterval);
         hasRead = co_await readMembers();
     }
     m_isIncarnationFinal = true;
-    // Now the number of daemons is known, which all together read the replicas' entries.
+    // The number of daemons that share the reads of the replica table is known from here on.
     updateDaemonCount();
     spawn(m_context.get_executor(), "followReplicas", m_replicas.follow());
     bool isRegistered = co_await registerSelf();
@@ -340,17 +350,17 @@
 duration entry_control::membersReadDelay()
 {
     const std::size_t daemons = m_membership.members().aliveCount() + 1;
-    const double turns = std::max(1.0, double(daemons) / concurrentMemberReaders);
-    // By chance, so that daemons that started together don't read together.
-    const double chance = std::uniform_real_distribution<double>(0.5, 1.5)(m_random);
-    return std::chrono::duration_cast<duration>(membersReadInterval * turns * chance);
+    const double rounds = std::max(1.0, double(daemons) / concurrentMemberReaders);
+    // Randomised, so that daemons that started together don't read at the same time.
+    const double jitter = std::uniform_real_distribution<double>(0.5, 1.5)(m_random);
+    return std::chrono::duration_cast<duration>(membersReadInterval * rounds * jitter);
 }
 
 void entry_control::updateDaemonCount()
 {
-    // After a start the store names daemons that were not heard of yet.
+    // After a start the store lists daemons that gossip has not reported yet.
     const member_list &members = m_membership.members();
-    m_replicas.setDaemons(
+    m_replicas.setDaemonCount(
         1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.knownCount()));
 }
 
@@ -372,9 +382,9 @@
 void entry_control::logMembers()
 {
     const std::vector<member_change> changes = m_membership.takeChanges();
-    std::size_t told = 0;
+    std::size_t logged = 0;
     for (const member_change &c : changes) {
-        if (++told > maxMemberLogLines)
+        if (++logged > maxMemberLogLines)
             break;
         logDecision(
             c.isAlive ? log_event::MemberBack : log_event::MemberGone,
@@ -393,18 +403,18 @@
 
 void entry_control::publishPeers()
 {
-    std::vector<endpoint> reaching;
+    std::vector<endpoint> reachingStore;
     for (const member_state *m : m_membership.members().healthy()) {
         if (m->storeReachable)
-            reaching.push_back(m->peers);
+            reachingStore.push_back(m->peers);
     }
     const int count = static_cast<int>(m_membership.members().aliveCount()) + 1;
-    if (reaching == m_peersReachingStore && count == m_aliveCount)
+    if (reachingStore == m_peersReachingStore && count == m_aliveCount)
         return;
-    m_peersReachingStore = reaching;
+    m_peersReachingStore = reachingStore;
     m_aliveCount = count;
-    m_transport->setPeers(reaching);
-    m_events.onPeers(std::move(reaching), count);
+    m_transport->setPeers(reachingStore);
+    m_events.onPeers(std::move(reachingStore), count);
 }
 
 void entry_control::publishMembers()
@@ -429,9 +439,9 @@
 void entry_control::forwardPeerReports() const
 {
     m_events.onAdmissionReports(m_membership.demandReportsHeard());
-    std::vector<replica_reports> heard = m_membership.replicaReportsHeard();
-    if (!heard.empty() && m_events.onReplicaReports)
-        m_events.onReplicaReports(std::move(heard));
+    std::vector<replica_reports> reports = m_membership.replicaReportsHeard();
+    if (!reports.empty() && m_events.onReplicaReports)
+        m_events.onReplicaReports(std::move(reports));
 }
 
 awaitable<void> entry_control::gossip()
@@ -443,8 +453,8 @@
                              m_transport->isDirectWorking());
         send(m_membership.onRound(runtime_clock::now()));
         logMembers();
-        // Before the store has named any member, the seeds are the only way to the others. They
-        // name other hosts' inner addresses; all hosts use the same ports.
+        // Until the store has listed a member, the seeds are the only way to reach the others. They
+        // are the peer addresses of other hosts; all hosts use the same ports.
         if (m_membership.members().knownCount() == 0) {
             for (const endpoint &seed : m_settings.seeds) {
                 const probe_message message = m_membership.joinMessage();
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -23,12 +23,12 @@
 constexpr int exitBadSettings = 2;
 constexpr int exitCantListen = 71;
 
-/// Callers keep a look-up for its time to live, some three times as long; after that nobody comes
-/// any more who could know better.
+/// Callers cache a look-up for its time to live, and some for three times as long; after that, no
+/// caller comes that could know a better address.
 constexpr duration lookupStaleTime = milliseconds(3500);
-/// Share of the grace time after which the process ends in any case.
+/// Fraction of the grace time after which the process ends in any case.
 constexpr double graceShare = 0.8;
-constexpr duration drainStep = milliseconds(50);
+constexpr duration drainPollInterval = milliseconds(50);
 
 awaitable<void> shutDown(entry_control &control, entry_service &service, const host_settings &s,
                          asio::io_context &controlContext, asio::io_context &trafficContext)
@@ -37,17 +37,17 @@
     const time_point began = runtime_clock::now();
     control.leave();
     asio::post(trafficContext, [&service] { service.announceClose(); });
-    const auto latest = std::chrono::duration_cast<duration>(s.grace * graceShare);
-    spawn(trafficContext.get_executor(), "release", service.release(began + latest));
-    co_await control.unregister(began + latest);
-    const duration stale = std::min<duration>(lookupStaleTime, latest);
-    int quietSteps = 0;
-    constexpr int enoughQuietSteps = 4;
-    while (runtime_clock::now() < began + latest) {
-        quietSteps = service.requestsInProgress() == 0 ? quietSteps + 1 : 0;
-        if (runtime_clock::now() > began + stale && quietSteps >= enoughQuietSteps)
+    const auto timeLimit = std::chrono::duration_cast<duration>(s.grace * graceShare);
+    spawn(trafficContext.get_executor(), "release", service.release(began + timeLimit));
+    co_await control.unregister(began + timeLimit);
+    const duration minDrainTime = std::min<duration>(lookupStaleTime, timeLimit);
+    int idlePolls = 0;
+    constexpr int requiredIdlePolls = 4;
+    while (runtime_clock::now() < began + timeLimit) {
+        idlePolls = service.requestsInProgress() == 0 ? idlePolls + 1 : 0;
+        if (runtime_clock::now() > began + minDrainTime && idlePolls >= requiredIdlePolls)
             break;
-        co_await sleepFor(drainStep);
+        co_await sleepFor(drainPollInterval);
     }
     logDecision(log_event::Stopped,
                 {{"in_progress", service.requestsInProgress()},
@@ -58,8 +58,8 @@
 
 constexpr duration settingsPollInterval = seconds(2);
 
-/// \brief Takes over the settings file whenever it has changed: it may change without a signal, so
-/// it is read again now and then.
+/// \brief Reloads the settings file when it has changed. It may change without a signal, so it is
+/// also read periodically.
 class settings_watch
 {
 public:
@@ -107,7 +107,7 @@
     }
 }
 
-/// \brief Writes the log to standard output on a thread of its own for as long as it lives.
+/// \brief Writes the log to standard output on a thread of its own during its lifetime.
 class stdout_log
 {
 public:
@@ -118,8 +118,8 @@
     }
     ~stdout_log()
     {
-        // A reader that stands still must not keep the process: its thread is then left behind with
-        // the sink, which is never destroyed.
+        // A stalled reader must not keep the process from ending: the thread is then detached
+        // together with the sink, which is never destroyed.
         constexpr duration flushTime = milliseconds(300);
         if (m_sink->stop(flushTime))
             m_thread.join();
@@ -134,14 +134,15 @@
     std::thread m_thread;
 };
 
-/// \brief Writes the ports under another name first, so that nobody reads half of them.
+/// \brief Writes the ports to a temporary file that is then renamed, so that no reader sees a part
+/// of them.
 void writePorts(const std::string &path, std::uint16_t clientPort, const control_ports &ports)
 {
-    const std::string unfinished = path + ".part";
-    std::ofstream file(unfinished);
+    const std::string temporaryPath = path + ".part";
+    std::ofstream file(temporaryPath);
     fmt::print(file, "{} {} {} {}\n", clientPort, ports.readiness, ports.lookups, ports.peers);
     file.close();
-    if (!file || std::rename(unfinished.c_str(), path.c_str()) != 0)
+    if (!file || std::rename(temporaryPath.c_str(), path.c_str()) != 0)
         logDecision(log_event::CantListen, {{"detail", "can't write " + path}});
 }
 
@@ -183,21 +184,22 @@
             service.setMembers(s, o);
         });
     };
-    events.onAdmissionReports = [&](std::vector<concurrency_reports> others) {
+    events.onAdmissionReports = [&](std::vector<concurrency_reports> reports) {
         asio::post(trafficContext,
-                   [&service, o = std::move(others)] { service.mergeAdmissionReports(o); });
+                   [&service, o = std::move(reports)] { service.mergeAdmissionReports(o); });
     };
-    events.onReplicaReports = [&](std::vector<replica_reports> others) {
+    events.onReplicaReports = [&](std::vector<replica_reports> reports) {
         asio::post(trafficContext,
-                   [&service, o = std::move(others)] { service.mergeReplicaReports(o); });
+                   [&service, o = std::move(reports)] { service.mergeReplicaReports(o); });
     };
     entry_control control(controlContext, s, std::move(events));
-    service.onAdmissionReports([&](concurrency_reports wanted) {
+    service.onAdmissionReports([&](concurrency_reports report) {
         asio::post(controlContext,
-                   [&control, w = std::move(wanted)] { control.setAdmissionReport(w); });
+                   [&control, w = std::move(report)] { control.setAdmissionReport(w); });
     });
-    service.onReplicaReports([&](replica_reports seen) {
-        asio::post(controlContext, [&control, w = std::move(seen)] { control.setReplicaWords(w); });
+    service.onReplicaReports([&](replica_reports report) {
+        asio::post(controlContext,
+                   [&control, w = std::move(report)] { control.setReplicaReport(w); });
     });
     http_server metricsServer(controlContext.get_executor(), {},
                               [&](const http_request &request, response_writer &writer) {
--- a/src/entry/replica_discovery.cpp
+++ b/src/entry/replica_discovery.cpp
@@ -13,29 +13,31 @@
 namespace {
 
 constexpr duration storeCallTimeout = milliseconds(1000);
-/// Time for a daemon nearby to hand out its changes; after it this daemon reads for itself.
+/// Timeout for fetching the changes from a nearby daemon, after which this daemon reads the store
+/// itself.
 constexpr duration changesTimeout = milliseconds(250);
-/// Time to hand out the whole table, which may be some megabytes on a slow line.
+/// Timeout for fetching the full table, which may be some megabytes on a slow line.
 constexpr duration fullTableTimeout = seconds(3);
-/// A daemon hands out the whole table this often at the most.
+/// Minimum interval between full tables that a daemon serves.
 constexpr duration fullTableServeInterval = milliseconds(250);
-/// Part of the reads that are of the whole table, so that a copy that the store's changes spoiled
-/// is found out.
+/// Fraction of the reads that read the full table, so that a copy that the store's incremental
+/// changes corrupted is detected.
 constexpr double fullReadShare = 1.0 / 32;
-/// Answers a daemon that may ask another one, or again later.
+/// Status that tells a daemon to ask another one, or to retry later.
 constexpr int statusBusy = 503;
-/// Rows in an answer of the store from which on there may be more changes.
+/// Number of rows in an answer of the store from which on there may be more changes.
 constexpr std::size_t fullPageRows = 100;
-/// Looks without a copy after which each daemon reads, whatever the number of daemons.
+/// Number of polls without a copy after which each daemon reads, whatever the number of daemons.
 constexpr int maxPollsWithoutCopy = 6;
 constexpr std::string_view changesPath = "/inner/replicas";
 constexpr std::string_view afterParameter = "after";
 constexpr duration maxIdle = seconds(2);
 constexpr std::size_t maxIdleConnections = 1;
-/// Lines on single replicas at one change of the entries; a start would write one for each.
+/// Maximum number of log lines on single replicas per update; a start would otherwise write one for
+/// each replica.
 constexpr std::size_t maxReplicaLogLines = 8;
 
-/// \returns a row that is not there: an answer that says so costs the store least.
+/// \returns the range of a row that doesn't exist: an empty answer costs the store least.
 row_range absentRow()
 {
     const std::string key = "touch";
@@ -63,7 +65,7 @@
 replica_discovery::replica_discovery(const asio::any_io_executor &executor, store &rows,
                                      std::shared_ptr<peer_transport> transport,
                                      const daemon_id &self, const mechanism_set &mechanisms,
-                                     receiver onReplicas)
+                                     replicas_callback onReplicas)
     : m_executor(executor), m_store(rows), m_transport(std::move(transport)),
       m_mechanisms(mechanisms), m_onReplicas(std::move(onReplicas)),
       m_pool(executor, maxIdle, maxIdleConnections),
@@ -72,25 +74,26 @@
 
 bool replica_discovery::shouldReadTable()
 {
-    const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
+    const double draw = std::uniform_real_distribution<double>(0, 1)(m_random);
     if (!m_mechanisms.has(mechanism::TableTurns))
         return true;
     const auto age = m_table.age(runtime_clock::now());
     if (age)
-        return isReadDue(m_turns, age, chance);
-    // All may have started at once. The readers' number doubles with each look, and whoever hears
-    // of a copy takes it.
-    const int looks = m_pollsWithoutCopy++;
-    const poll_schedule turns{m_turns.propagationBound,
-                              m_turns.liveDaemons >> std::min(looks, maxPollsWithoutCopy)};
-    return looks >= maxPollsWithoutCopy || isReadDue(turns, duration::zero(), chance);
+        return isReadDue(m_readSchedule, age, draw);
+    // All daemons may have started at once. The number of readers doubles with each poll, and
+    // daemons that learn of another's copy fetch that one.
+    const int polls = m_pollsWithoutCopy++;
+    const poll_schedule schedule{m_readSchedule.propagationBound,
+                                 m_readSchedule.liveDaemons
+                                     >> std::min(polls, maxPollsWithoutCopy)};
+    return polls >= maxPollsWithoutCopy || isReadDue(schedule, duration::zero(), draw);
 }
 
 awaitable<void> replica_discovery::readTable()
 {
-    const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
+    const double draw = std::uniform_real_distribution<double>(0, 1)(m_random);
     bool isRead = false;
-    if (m_table.version() != 0 && chance >= fullReadShare)
+    if (m_table.version() != 0 && draw >= fullReadShare)
         isRead = co_await readChanges();
     if (!isRead)
         co_await readFullTable();
@@ -102,7 +105,7 @@
     row_range range = replicaRange();
     const auto page = co_await m_store.read(std::move(range), began + storeCallTimeout);
     if (page && m_table.onRead(*page, began))
-        adopt("read");
+        applyChanges("read");
 }
 
 awaitable<bool> replica_discovery::readChanges()
@@ -117,14 +120,14 @@
         if (!page) {
             const bool isGone = page.error().kind == store_error_kind::HistoryGone;
             if (isChanged)
-                adopt("feed");
+                applyChanges("feed");
             co_return !isGone;
         }
         rows = page->rows.size();
         isChanged = m_table.onFeed(*page, began) || isChanged;
     }
     if (isChanged)
-        adopt("feed");
+        applyChanges("feed");
     co_return true;
 }
 
@@ -148,8 +151,9 @@
 awaitable<void> replica_discovery::follow()
 {
     while (true) {
-        const duration pause = pollInterval(m_turns);
-        // Callers are sent to daemons that reach the store, so each looks as often whether it does.
+        const duration pause = pollInterval(m_readSchedule);
+        // Callers are sent to daemons that reach the store, so each daemon checks at this interval
+        // whether it does.
         const bool isStoreSilent
             = runtime_clock::now() - m_transport->lastAnswer() > pause || !m_storeWasReachable;
         if (shouldReadTable())
@@ -157,48 +161,49 @@
         else if (isStoreSilent)
             co_await probeStore();
         logStoreReachability();
-        // Apart by chance, so that daemons that started together don't read together.
-        const double chance = std::uniform_real_distribution<double>(0.9, 1.1)(m_random);
-        co_await sleepFor(std::chrono::duration_cast<duration>(pause * chance));
+        // Randomised, so that daemons that started together don't read at the same time.
+        const double draw = std::uniform_real_distribution<double>(0.9, 1.1)(m_random);
+        co_await sleepFor(std::chrono::duration_cast<duration>(pause * draw));
     }
 }
 
-void replica_discovery::onDigest(const peer_digest &news)
+void replica_discovery::onDigest(const peer_digest &announcement)
 {
-    const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
+    const bool isBehind
+        = m_table.onDigest(announcement.digest, announcement.askedAt) == digest_comparison::Behind;
     if (!isBehind || m_isFetchingChanges)
         return;
     m_isFetchingChanges = true;
-    spawn(m_executor, "takeReplicaChanges", takeChanges(news));
+    spawn(m_executor, "takeReplicaChanges", fetchChanges(announcement));
 }
 
-awaitable<void> replica_discovery::takeChanges(peer_digest news)
+awaitable<void> replica_discovery::fetchChanges(peer_digest announcement)
 {
     const time_point began = runtime_clock::now();
-    const bool isWhole = m_table.version() == 0;
-    const time_point deadline = began + (isWhole ? fullTableTimeout : changesTimeout);
-    http_connection connection = m_pool.take(news.peer, began);
+    const bool isFullTable = m_table.version() == 0;
+    const time_point deadline = began + (isFullTable ? fullTableTimeout : changesTimeout);
+    http_connection connection = m_pool.take(announcement.peer, began);
     bool isConnected = connection.isReusable();
     if (!isConnected) {
-        const auto connected = co_await connection.connect(news.peer, deadline);
+        const auto connected = co_await connection.connect(announcement.peer, deadline);
         isConnected = connected.has_value();
     }
-    bool isTaken = false;
+    bool isApplied = false;
     bool isPeerBusy = false;
     if (isConnected) {
         http_request request = changesRequest(m_table.version());
         const auto response = co_await connection.exchange(std::move(request), deadline);
         if (response && response->status == 200) {
             const auto changes = decodeChanges(response->body, replicaRange().table);
-            isTaken = changes && m_table.onChanges(*changes, began);
-            m_pool.give(news.peer, std::move(connection), runtime_clock::now());
+            isApplied = changes && m_table.onChanges(*changes, began);
+            m_pool.give(announcement.peer, std::move(connection), runtime_clock::now());
         }
         isPeerBusy = response && response->status == statusBusy;
     }
     m_isFetchingChanges = false;
-    if (isTaken)
-        adopt("peer");
-    else if (!isPeerBusy && m_table.version() < news.digest.version)
+    if (isApplied)
+        applyChanges("peer");
+    else if (!isPeerBusy && m_table.version() < announcement.digest.version)
         co_await readTable();
 }
 
@@ -209,10 +214,11 @@
 
 http_response replica_discovery::serveChanges(const http_request &request)
 {
-    const std::string said = request.query(afterParameter).value_or("");
+    const std::string parameter = request.query(afterParameter).value_or("");
     store_version after = 0;
-    const auto [end, error] = std::from_chars(said.data(), said.data() + said.size(), after);
-    const bool isNumber = error == std::errc() && end == said.data() + said.size();
+    const auto [end, error]
+        = std::from_chars(parameter.data(), parameter.data() + parameter.size(), after);
+    const bool isNumber = error == std::errc() && end == parameter.data() + parameter.size();
     if (!isNumber || m_table.version() == 0)
         return jsonResponse(isNumber ? statusBusy : 400, "{}");
     const time_point now = runtime_clock::now();
@@ -247,7 +253,7 @@
     return isChanged;
 }
 
-void replica_discovery::adopt(std::string_view source)
+void replica_discovery::applyChanges(std::string_view source)
 {
     std::size_t changed = 0;
     m_loggedReplicas = 0;
--- a/src/entry/response_relay.cpp
+++ b/src/entry/response_relay.cpp
@@ -17,77 +17,82 @@
     return error == std::errc() && rest == end ? std::optional(value) : std::nullopt;
 }
 
-/// \returns whether \p event comes at or before the event \p last. Ids grow along a stream.
-bool isRepeated(const sse_event &event, std::string_view last)
+/// \returns whether \p event is the event \p lastEventId or an earlier one. Ids increase along a
+/// stream.
+bool isRepeated(const sse_event &event, std::string_view lastEventId)
 {
     const auto number = wholeNumber(event.id);
-    const auto lastNumber = wholeNumber(last);
+    const auto lastNumber = wholeNumber(lastEventId);
     return number && lastNumber && *number <= *lastNumber;
 }
 
-/// \returns how a send ended whose answer was not relayed whole.
-send_outcome incompleteSendEnd(const entry_call &call, bool clientOpen)
+/// \returns the outcome of a send whose answer was not relayed completely.
+send_outcome incompleteSendEnd(const entry_call &call, bool isClientConnected)
 {
-    if (call.clientDisconnected() || !clientOpen || call.cut == abort_reason::DeadlineExceeded)
+    if (call.clientDisconnected() || !isClientConnected
+        || call.abortReason == abort_reason::DeadlineExceeded)
         return send_outcome::Cancelled;
-    return call.cut == abort_reason::ReplicaSilent ? send_outcome::Silent : send_outcome::Broken;
+    return call.abortReason == abort_reason::ReplicaSilent ? send_outcome::Silent
+                                                           : send_outcome::Broken;
 }
 
 } // namespace
 
 response_relay::response_relay(upstream_sender &sender, replica_load_balancer &board,
-                               engine_admission &places, local_reply_writer &answers,
+                               engine_admission &admission, local_reply_writer &localReplies,
                                entry_metrics &metrics)
-    : m_sender(sender), m_board(board), m_places(places), m_answers(answers), m_metrics(metrics)
+    : m_sender(sender), m_board(board), m_engineAdmission(admission), m_localReplies(localReplies),
+      m_metrics(metrics)
 { }
 
 awaitable<bool> response_relay::readBody(entry_call_ptr call, open_reply &reply, std::string &body)
 {
     while (body.size() <= maxBufferedBytes) {
-        const auto piece = co_await reply.connection->readSome(call->deadline);
-        if (!piece)
+        const auto chunk = co_await reply.connection->readSome(call->deadline);
+        if (!chunk)
             co_return false;
-        if (piece->empty())
+        if (chunk->empty())
             co_return true;
         call->lastByteAt = runtime_clock::now();
-        body += *piece;
+        body += *chunk;
     }
     co_return true;
 }
 
 awaitable<void> response_relay::relayRemainder(entry_call_ptr call, open_reply &reply,
-                                               std::string start, response_writer &writer)
+                                               std::string prefix, response_writer &writer)
 {
     header_list headers = replyHeaders(reply.head);
-    call->begun = true;
-    bool open = co_await writer.begin(reply.head.status, std::move(headers));
-    bool isWhole = false;
-    std::string piece = std::move(start);
-    while (open) {
-        open = co_await writer.writeChunk(piece);
+    call->responseStarted = true;
+    bool isClientConnected = co_await writer.begin(reply.head.status, std::move(headers));
+    bool isComplete = false;
+    std::string chunk = std::move(prefix);
+    while (isClientConnected) {
+        isClientConnected = co_await writer.writeChunk(chunk);
         auto next = co_await reply.connection->readSome(call->deadline);
         if (!next)
             break;
-        isWhole = next->empty();
-        if (isWhole)
+        isComplete = next->empty();
+        if (isComplete)
             break;
-        piece = std::move(*next);
+        chunk = std::move(*next);
     }
-    if (open && isWhole)
-        open = co_await writer.end();
+    if (isClientConnected && isComplete)
+        isClientConnected = co_await writer.end();
     m_sender.finish(*call, reply,
-                    open && isWhole ? send_outcome::Answered : incompleteSendEnd(*call, open));
+                    isClientConnected && isComplete ? send_outcome::Answered
+                                                    : incompleteSendEnd(*call, isClientConnected));
 }
 
 awaitable<void> response_relay::relayNonStream(entry_call_ptr call, open_reply reply,
                                                response_writer &writer)
 {
     std::string body;
-    const bool whole = co_await readBody(call, reply, body);
-    m_sender.finish(*call, reply, whole ? send_outcome::Answered : send_outcome::Broken);
-    if (!whole) {
+    const bool isComplete = co_await readBody(call, reply, body);
+    m_sender.finish(*call, reply, isComplete ? send_outcome::Answered : send_outcome::Broken);
+    if (!isComplete) {
         const send_failure broken{send_outcome::Broken, "the answer broke off"};
-        co_await m_answers.giveUp(call, broken, writer);
+        co_await m_localReplies.replyWithFailure(call, broken, writer);
         co_return;
     }
     http_response response{reply.head.status, replyHeaders(reply.head), std::move(body)};
@@ -97,45 +102,46 @@
 void response_relay::recordEventInterval(const entry_call &call, std::int64_t events,
                                          time_point firstAt)
 {
-    // Fewer say more about how the answer was cut into packets than about the engine.
+    // Fewer events say more about how the answer was split into packets than about the engine.
     constexpr std::int64_t enoughEvents = 4;
     m_metrics.onPhase(call.route->name, request_phase::Events, call.lastByteAt - firstAt);
     if (events < enoughEvents)
         return;
     const std::chrono::duration<double, std::milli> span = call.lastByteAt - firstAt;
-    m_places.onPace(call.service, span.count() / double(events - 1), call.lastByteAt);
+    m_engineAdmission.onEventInterval(call.service, span.count() / double(events - 1),
+                                      call.lastByteAt);
 }
 
 std::string response_relay::parseChunk(entry_call &call, sse_reader &events,
-                                       const std::string &piece, stream_result &stream)
+                                       const std::string &chunk, stream_result &stream)
 {
-    std::string whole;
-    events.feed(piece);
+    std::string completeEvents;
+    events.feed(chunk);
     while (auto event = events.nextEvent()) {
         if (call.route->isResumable && isRepeated(*event, call.lastEventId))
             continue;
         if (!event->id.empty())
             call.lastEventId = event->id;
-        whole += event->raw;
+        completeEvents += event->raw;
         if (!event->data)
             continue;
         ++stream.events;
         stream.output += *event->data;
         stream.output += '\n';
     }
-    return call.route->isResumable ? whole : piece;
+    return call.route->isResumable ? completeEvents : chunk;
 }
 
 awaitable<stream_result> response_relay::relayStream(entry_call_ptr call, open_reply &reply,
                                                      response_writer &writer)
 {
-    stream_result result;
+    stream_result stream;
     header_list headers = replyHeaders(reply.head);
-    call->begun = true;
+    call->responseStarted = true;
     call->lastEventId = call->request.lastEventId;
-    result.isOpen = co_await writer.begin(reply.head.status, std::move(headers));
-    co_await relayContinuation(call, reply, result, writer);
-    co_return result;
+    stream.isClientConnected = co_await writer.begin(reply.head.status, std::move(headers));
+    co_await relayContinuation(call, reply, stream, writer);
+    co_return stream;
 }
 
 awaitable<void> response_relay::relayContinuation(entry_call_ptr call, open_reply &reply,
@@ -144,12 +150,12 @@
     std::optional<time_point> firstAt;
     sse_reader events;
     const std::int64_t eventsBefore = stream.events;
-    while (stream.isOpen && !events.isTooLong()) {
-        auto piece = co_await reply.connection->readSome(call->deadline);
-        if (!piece)
+    while (stream.isClientConnected && !events.isTooLong()) {
+        auto chunk = co_await reply.connection->readSome(call->deadline);
+        if (!chunk)
             break;
-        if (piece->empty()) {
-            stream.isWhole = true;
+        if (chunk->empty()) {
+            stream.isComplete = true;
             break;
         }
         call->lastByteAt = runtime_clock::now();
@@ -158,17 +164,17 @@
             m_metrics.onPhase(call->route->name, request_phase::FirstByte, *firstAt - call->sentAt);
         }
         m_board.onBytesReceived(reply.where.replica.incarnation, call->lastByteAt);
-        const std::string bytes = parseChunk(*call, events, *piece, stream);
+        const std::string bytes = parseChunk(*call, events, *chunk, stream);
         if (!bytes.empty())
-            stream.isOpen = co_await writer.writeChunk(bytes);
+            stream.isClientConnected = co_await writer.writeChunk(bytes);
     }
-    if (stream.isWhole && call->route->isResumable && !events.unfinished().empty())
-        stream.isOpen = co_await writer.writeChunk(events.unfinished());
+    if (stream.isComplete && call->route->isResumable && !events.unfinished().empty())
+        stream.isClientConnected = co_await writer.writeChunk(events.unfinished());
     if (firstAt)
         recordEventInterval(*call, stream.events - eventsBefore, *firstAt);
     m_sender.finish(*call, reply,
-                    stream.isWhole ? send_outcome::Answered
-                                   : incompleteSendEnd(*call, stream.isOpen));
+                    stream.isComplete ? send_outcome::Answered
+                                      : incompleteSendEnd(*call, stream.isClientConnected));
 }
 
 } // namespace azurehill
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -10,38 +10,41 @@
 
 namespace {
 
-/// A replica's connection that lies idle for longer is closed: it may have gone silent. With 6 s, a
-/// third of the new connections of a calm day replaced ones that had run out.
+/// Idle time after which a connection to a replica is closed, since the replica may have stopped
+/// answering. With 6 s, a third of the new connections of a quiet day replaced expired ones.
 constexpr duration maxIdle = seconds(20);
-/// A request that may run once only and is lost on such a connection can't be sent again.
+/// Maximum idle time of a connection that may carry a non-idempotent request: such a request can't
+/// be sent again if it is lost on a dead connection.
 constexpr duration maxIdleNonIdempotent = seconds(6);
 constexpr std::size_t maxIdlePerReplica = 32;
-/// Replicas are a few milliseconds away. A lost opening packet is sent again after a second, by
-/// which time another replica has long answered.
-constexpr duration connectTime = milliseconds(300);
-/// A replica that shows no sign of life on any connection for this long may be dead. It may also
-/// have many requests to work on, or have preempted this one.
+/// Replicas are a few milliseconds away. A lost SYN is retransmitted after a second, by which time
+/// another replica has long answered.
+constexpr duration connectTimeout = milliseconds(300);
+/// A replica without activity on any connection for this long may be dead. It may also be
+/// overloaded, or have preempted this request.
 constexpr duration silenceTimeout = milliseconds(1200);
-/// Replicas that refuse are no attempts, but somewhere the search must end.
+/// Refusals don't count as attempts, so their number is bounded separately.
 constexpr int maxRefusals = 4;
-/// Least time for one attempt of an idempotent request, and its share of the time that is left.
+/// Minimum timeout of one attempt of an idempotent request, and the number of attempts among which
+/// the remaining time is divided.
 constexpr duration minAttemptTimeout = milliseconds(250);
 constexpr int attemptsPerDeadline = 3;
 
-/// Least status of a failure of the replica's own.
+/// Lowest HTTP status that means that the replica failed.
 constexpr int minFailureStatus = 500;
 
 duration attemptTimeout(const entry_call &call, const replica_load_balancer &board, time_point now)
 {
-    const duration share = (call.deadline - now) / attemptsPerDeadline;
+    const duration minEvenFraction = (call.deadline - now) / attemptsPerDeadline;
     const auto typical = board.typicalFirstByteTime(call.service);
-    const duration wanted = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : share;
-    return std::min(wanted, std::max<duration>(share, minAttemptTimeout));
+    const duration preferred
+        = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : minEvenFraction;
+    return std::min(preferred, std::max<duration>(minEvenFraction, minAttemptTimeout));
 }
 
-send_outcome endOf(const entry_call &call, const http_error &error)
+send_outcome failedSendEnd(const entry_call &call, const http_error &error)
 {
-    switch (call.cut) {
+    switch (call.abortReason) {
     case abort_reason::ClientDisconnected:
     case abort_reason::DeadlineExceeded:
         return send_outcome::Cancelled;
@@ -59,14 +62,14 @@
 
 placement_request placementRequestFor(const entry_call &call)
 {
-    placement_request wanted;
-    wanted.service = call.service;
-    wanted.parts = call.request.promptParts;
+    placement_request result;
+    result.service = call.service;
+    result.parts = call.request.promptParts;
     if (call.request.tokens)
-        wanted.promptTokens = call.request.tokens->prompt;
+        result.promptTokens = call.request.tokens->prompt;
     if (call.route->sessionAffinity)
-        wanted.affinityKey = call.request.affinityKey;
-    return wanted;
+        result.affinityKey = call.request.affinityKey;
+    return result;
 }
 
 upstream_sender::upstream_sender(const asio::any_io_executor &executor,
@@ -79,9 +82,9 @@
 {
     if (call.route->kind != route_kind::Stream)
         return false;
-    const time_point heard = std::max(
+    const time_point lastActivity = std::max(
         {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastReceivedAt(call.replica)});
-    return now - heard > std::max<duration>(silenceTimeout, 2 * call.route->maxEventGap);
+    return now - lastActivity > std::max<duration>(silenceTimeout, 2 * call.route->maxEventGap);
 }
 
 bool upstream_sender::isStillAllowed(const entry_call &call) const
@@ -91,22 +94,22 @@
     const route_rule *const route = m_routes->find(call.request.hostname, call.path);
     if (!route)
         return false;
-    const access now = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
-    const account_id holder = now.account ? now.account->name : account_id();
-    return now.verdict == access_verdict::Allowed && holder == call.accountName();
+    const access current = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
+    const account_id holder = current.account ? current.account->name : account_id();
+    return current.verdict == access_verdict::Allowed && holder == call.accountName();
 }
 
-void upstream_sender::dropConnections(const replica_entry &ended)
+void upstream_sender::dropConnections(const replica_entry &replaced)
 {
-    m_pool.drop(ended.address);
+    m_pool.drop(replaced.address);
 }
 
 void upstream_sender::sweep(time_point now)
 {
     m_pool.expire(now);
-    const std::set<entry_call_ptr> calls = m_underWay;
+    const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
-        if (call->cut != abort_reason::None)
+        if (call->abortReason != abort_reason::None)
             continue;
         if (now >= call->deadline)
             call->abortSend(abort_reason::DeadlineExceeded);
@@ -126,14 +129,15 @@
 awaitable<void> upstream_sender::probeByConnecting(replica_incarnation who, endpoint address)
 {
     http_connection connection(m_executor);
-    const auto connected = co_await connection.connect(address, runtime_clock::now() + connectTime);
+    const auto connected
+        = co_await connection.connect(address, runtime_clock::now() + connectTimeout);
     const time_point now = runtime_clock::now();
     m_probedReplicas.erase(who);
     logDecision(log_event::SilenceChecked,
                 {{"replica", who.id.value}, {"alive", connected.has_value()}});
-    const std::set<entry_call_ptr> calls = m_underWay;
+    const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
-        if (call->replica != who || call->cut != abort_reason::None)
+        if (call->replica != who || call->abortReason != abort_reason::None)
             continue;
         if (connected)
             call->replicaAliveAt = now;
@@ -145,26 +149,27 @@
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
-upstream_sender::sendOnce(entry_call_ptr call, placement where, const placement_request &wanted,
-                          const http_request &original, std::string body)
+upstream_sender::sendOnce(entry_call_ptr call, placement where,
+                          const placement_request &placementRequest, const http_request &original,
+                          std::string body)
 {
     const endpoint address = where.replica.address;
-    const bool once = call->route->kind == route_kind::NonIdempotent;
-    auto connection = std::make_shared<http_connection>(
-        m_pool.take(address, runtime_clock::now(), once ? maxIdleNonIdempotent : maxIdle));
+    const bool isNonIdempotent = call->route->kind == route_kind::NonIdempotent;
+    auto connection = std::make_shared<http_connection>(m_pool.take(
+        address, runtime_clock::now(), isNonIdempotent ? maxIdleNonIdempotent : maxIdle));
     call->connection = connection.get();
     call->replica = where.replica.incarnation;
     call->replicaAddress = address;
     call->sentAt = runtime_clock::now();
     call->lastByteAt = call->sentAt;
     call->attemptDeadline.reset();
-    m_board.onSent(where, wanted, call->sentAt);
-    m_underWay.insert(call);
+    m_board.onSent(where, placementRequest, call->sentAt);
+    m_inFlight.insert(call);
     open_reply reply{where, {}, connection};
 
     const bool isNew = !connection->isReusable();
     if (isNew) {
-        const time_point until = std::min(call->deadline, call->sentAt + connectTime);
+        const time_point until = std::min(call->deadline, call->sentAt + connectTimeout);
         const auto connected = co_await connection->connect(address, until);
         if (!connected) {
             finish(*call, reply,
@@ -188,14 +193,14 @@
     logDecision(log_event::Sent,
                 {{"request", call->request.id},
                  {"program", call->request.program.value},
-                 {"attempt", std::int64_t(wanted.tried.size())},
+                 {"attempt", std::int64_t(placementRequest.tried.size())},
                  {"replica", where.replica.incarnation.id.value},
                  {"outstanding", std::int64_t(where.outstanding)},
                  {"candidates", std::int64_t(where.candidates)},
                  {"finish_ms",
                   call->request.programTimeLeft ? toMilliseconds(*call->request.programTimeLeft)
                                                 : std::int64_t(-1)},
-                 {"prompt_tokens", wanted.promptTokens},
+                 {"prompt_tokens", placementRequest.promptTokens},
                  {"cached_tokens", where.cachedTokens},
                  {"cost_ms", where.cost},
                  {"new_connection", isNew},
@@ -203,11 +208,11 @@
                  {"left_ms", toMilliseconds(fields.timeLeft)}});
     auto head = co_await connection->open(std::move(out), call->deadline);
     if (!head) {
-        // Only a request of which no byte left did certainly not run.
+        // A request certainly did not run only if none of its bytes was sent.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
         const send_outcome end = didNotRun && !call->clientDisconnected()
             ? send_outcome::NotRun
-            : endOf(*call, head.error());
+            : failedSendEnd(*call, head.error());
         if (!didNotRun)
             call->mayHaveRun = true;
         finish(*call, reply, end);
@@ -216,9 +221,10 @@
     call->lastByteAt = runtime_clock::now();
     const reply_kind kind = judgeReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
-        // The time of a failure says nothing of how long answers take.
+        // The response time of a failure says nothing about how long answers take.
         if (head->status < minFailureStatus)
-            m_board.onFirstByte(where, wanted, call->lastByteAt - call->sentAt, call->lastByteAt);
+            m_board.onFirstByte(where, placementRequest, call->lastByteAt - call->sentAt,
+                                call->lastByteAt);
         call->mayHaveRun = true;
         reply.head = std::move(*head);
         co_return reply;
@@ -231,10 +237,10 @@
     }
     if (kind == reply_kind::WrongReplica)
         m_board.setLeaving(where.replica.incarnation);
-    // The rest of a refusal is read so that the connection can be used again.
+    // The rest of a refusal is read so that the connection can be reused.
     while (true) {
-        const auto piece = co_await connection->readSome(call->deadline);
-        if (!piece || piece->empty())
+        const auto chunk = co_await connection->readSome(call->deadline);
+        if (!chunk || chunk->empty())
             break;
     }
     finish(*call, reply, send_outcome::NotRun);
@@ -249,12 +255,13 @@
     m_board.onDone(reply.where, end, now);
     call.connection = nullptr;
     call.attemptDeadline.reset();
-    std::erase_if(m_underWay, [&](const entry_call_ptr &c) { return c.get() == &call; });
-    // A connection to a process that is over is dead, and the next request on it would be cut off.
-    const bool isOver = m_board.isReplaced(reply.where.replica.incarnation);
-    const bool isEnded = end == send_outcome::Answered || end == send_outcome::Failed
+    std::erase_if(m_inFlight, [&](const entry_call_ptr &c) { return c.get() == &call; });
+    // Connections to a process that has ended are dead, and the next request on one of them would
+    // fail.
+    const bool isReplaced = m_board.isReplaced(reply.where.replica.incarnation);
+    const bool isAnswerRead = end == send_outcome::Answered || end == send_outcome::Failed
         || end == send_outcome::NotRun;
-    const bool keep = !isOver && isEnded;
+    const bool keep = !isReplaced && isAnswerRead;
     if (keep)
         m_pool.give(reply.where.replica.address, std::move(*reply.connection), now);
     else
@@ -270,13 +277,13 @@
                   std::int64_t(end == send_outcome::Answered || end == send_outcome::Failed
                                    ? reply.head.status
                                    : 0)},
-                 {"cut", std::string(toName(call.cut))},
+                 {"cut", std::string(toName(call.abortReason))},
                  {"ms", toMilliseconds(now - call.sentAt)}});
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
-upstream_sender::open(entry_call_ptr call, placement_request &wanted, const http_request &original,
-                      std::string body)
+upstream_sender::open(entry_call_ptr call, placement_request &placementRequest,
+                      const http_request &original, std::string body)
 {
     send_failure last{send_outcome::Unreachable, "no replica may take requests"};
     int refusals = 0;
@@ -287,12 +294,12 @@
         }
         if (call->sends >= call->route->maxAttempts || refusals > maxRefusals)
             break;
-        const auto where = m_board.choose(wanted, runtime_clock::now());
+        const auto where = m_board.choose(placementRequest, runtime_clock::now());
         if (!where)
             break;
-        wanted.tried.insert(where->replica.incarnation);
+        placementRequest.tried.insert(where->replica.incarnation);
         std::string copy = body;
-        auto reply = co_await sendOnce(call, *where, wanted, original, std::move(copy));
+        auto reply = co_await sendOnce(call, *where, placementRequest, original, std::move(copy));
         if (reply)
             co_return reply;
         last = reply.error();
@@ -303,35 +310,35 @@
         ++call->sends;
         const bool mayRetry
             = call->route->kind == route_kind::Idempotent || call->route->isResumable;
-        if (call->cut == abort_reason::AttemptTimeout && mayRetry)
-            call->cut = abort_reason::None;
-        if (!mayRetry || call->cut != abort_reason::None)
+        if (call->abortReason == abort_reason::AttemptTimeout && mayRetry)
+            call->abortReason = abort_reason::None;
+        if (!mayRetry || call->abortReason != abort_reason::None)
             break;
     }
     co_return tl::unexpected(last);
 }
 
 awaitable<tl::expected<open_reply, send_failure>>
-upstream_sender::resume(entry_call_ptr call, placement_request &wanted, placement broken,
+upstream_sender::resume(entry_call_ptr call, placement_request &placementRequest, placement broken,
                         const http_request &original, std::string body)
 {
-    call->cut = abort_reason::None;
+    call->abortReason = abort_reason::None;
     ++call->sends;
-    bool hasEnded = !m_board.isListed(broken.replica.incarnation);
-    if (!hasEnded && call->sends >= call->route->maxAttempts) {
-        // No other replica may be asked as long as this one lives.
+    bool isUnlisted = !m_board.isListed(broken.replica.incarnation);
+    if (!isUnlisted && call->sends >= call->route->maxAttempts) {
+        // No other replica may be asked while this one is alive.
         std::string copy = body;
-        auto again = co_await sendOnce(call, broken, wanted, original, std::move(copy));
+        auto again = co_await sendOnce(call, broken, placementRequest, original, std::move(copy));
         if (again)
             co_return again;
-        hasEnded = again.error().end == send_outcome::Unreachable
+        isUnlisted = again.error().end == send_outcome::Unreachable
             || !m_board.isListed(broken.replica.incarnation);
-        if (!hasEnded)
+        if (!isUnlisted)
             co_return again;
     }
-    if (hasEnded)
+    if (isUnlisted)
         --call->sends;
-    co_return co_await open(call, wanted, original, std::move(body));
+    co_return co_await open(call, placementRequest, original, std::move(body));
 }
 
 } // namespace azurehill
--- a/test/io/account_access_test.cpp
+++ b/test/io/account_access_test.cpp
@@ -1,13 +1,13 @@
 #include <doctest/doctest.h>
 
-// doctest's macros are used by the world.
+// entry_fixture.h uses doctest's macros.
 #include "entry_fixture.h"
 
 namespace azurehill::test {
 
 namespace {
 
-/// \returns the routes of the world with two accounts; "/open/" is public.
+/// \returns the routes of the fixture with two accounts; "/open/" is public.
 routing_config_ptr routesWithAccounts(std::uint64_t version, const std::string &keyOfFirst,
                                       std::optional<request_quota> quota = std::nullopt)
 {
@@ -52,7 +52,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// \brief A world whose configuration has accounts.
+/// \brief Fixture whose configuration has accounts.
 struct account_fixture : entry_fixture
 {
     account_fixture() { service->setRoutes(routesWithAccounts(2, "k1")); }
@@ -174,14 +174,14 @@
         self.serving = true;
         self.storeReachable = true;
         w.service->setMembers(self, {});
-        const int most = mostCredits({1, 1}, w.settings.quota);
+        const int maxServed = mostCredits({1, 1}, w.settings.quota);
         int served = 0;
         std::string last;
-        for (int i = 0; i < most + 5; ++i) {
+        for (int i = 0; i < maxServed + 5; ++i) {
             last = w.ask(request("/safe/x", "r" + std::to_string(i), "Authorization: Bearer k1"));
             served += statusOf(last) == 200 ? 1 : 0;
         }
-        CHECK(served == most);
+        CHECK(served == maxServed);
         CHECK(statusOf(last) == 429);
         CHECK(contains(last, "Retry-After: "));
         CHECK(statusOf(w.ask(request("/safe/x", "s1", "Authorization: Bearer k2"))) == 200);
--- a/test/io/decoder_fuzz_test.cpp
+++ b/test/io/decoder_fuzz_test.cpp
@@ -298,7 +298,7 @@
             const auto decoded = decodeClientRequest(request);
             if (!decoded)
                 return;
-            RC_ASSERT(!decoded->patience || *decoded->patience >= duration::zero());
+            RC_ASSERT(!decoded->clientTimeout || *decoded->clientTimeout >= duration::zero());
             RC_ASSERT(!decoded->tokenBudget || *decoded->tokenBudget >= 0);
             RC_ASSERT(!decoded->tokens || decoded->tokens->maxOutputTokens >= 0);
             const forward_headers fields{{"i-1"}, seconds(1), 5, true, {"a"}, "4"};
--- a/test/process/entry_test.cpp
+++ b/test/process/entry_test.cpp
@@ -21,14 +21,14 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds patience(20'000);
+constexpr std::chrono::milliseconds testTimeout(20'000);
 
 constexpr const char *configuration = R"({"version":7,"routes":[
   {"name":"r","hostname":"h.example","prefix":"/a/","route_type":"idempotent","timeout_ms":20000,
    "service":"tools","max_attempts":2}],
   "services":[{"name":"tools","max_connections":10}],"limits":{}})";
 
-/// \brief A store and a replica on a thread of their own, for one azurehill-entry.
+/// \brief Test fixture: a store and a replica on a thread of their own, for one azurehill-entry.
 class platform_fixture
 {
 public:
@@ -78,7 +78,7 @@
         return entry;
     }
 
-    /// \brief Writes the replica's entry as its process that began at \p born would.
+    /// \brief Writes the replica's entry as a process that started at \p born would.
     void writeReplica(const std::string &state, std::int64_t born, int sequence)
     {
         writeRow({"servers", "", "i-1"},
@@ -115,7 +115,7 @@
     /// Requests wait at the replica until this is set.
     std::atomic<bool> mayAnswer{true};
     std::atomic<int> arrived{0};
-    /// Calls of the store get no answer.
+    /// Whether calls to the store get no answer.
     std::atomic<bool> isStoreSilent{false};
 
 private:
@@ -141,7 +141,7 @@
     std::thread m_thread;
 };
 
-/// \returns the answer to a request on a connection of its own; status 0 for none.
+/// \returns the answer to a request on a new connection; status 0 if there is none.
 http_response get(std::uint16_t port, const std::string &target)
 {
     asio::io_context context;
@@ -154,7 +154,7 @@
         request.headers.add("X-Azurehill-Request-Id", "r1");
         endpoint peer{"127.0.0.1", port};
         const auto result = co_await exchangeOnce(std::move(peer), std::move(request),
-                                                  runtime_clock::now() + patience);
+                                                  runtime_clock::now() + testTimeout);
         if (result)
             answer = *result;
     };
@@ -163,9 +163,9 @@
     return answer;
 }
 
-bool isReady(const platform_fixture &world)
+bool isReady(const platform_fixture &fixture)
 {
-    const std::uint16_t port = world.ports()[1];
+    const std::uint16_t port = fixture.ports()[1];
     return port != 0 && get(port, "/azurehill/ready").status == 200;
 }
 
@@ -175,10 +175,10 @@
 {
     TEST_CASE("it serves once it knows the configuration and the replicas")
     {
-        platform_fixture world;
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
-        const auto ports = world.ports();
+        platform_fixture fixture;
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        const auto ports = fixture.ports();
         CHECK(get(ports[0], "/a/x").body == "whole");
         const std::string addresses
             = get(ports[2], "/azurehill/resolve?name=h.example&region=r&zone=z").body;
@@ -186,11 +186,11 @@
 
         SUBCASE("SIGHUP takes over changed settings and does not end it")
         {
-            // Hosts lost their daemons one after the other while the platform rolled out new
-            // settings: the signal that announces them ended the process.
-            world.writeSettings(9);
+            // Guards against SIGHUP ending the process: the platform announces new settings by it,
+            // and a roll-out ended the daemons of one host after the other.
+            fixture.writeSettings(9);
             entry.signal(SIGHUP);
-            CHECK(holdsWithin(patience, [&] {
+            CHECK(holdsWithin(testTimeout, [&] {
                 return entry.log().find(R"("event":"reloaded")") != std::string::npos;
             }));
             CHECK_FALSE(entry.exitStatus());
@@ -199,35 +199,36 @@
 
         SUBCASE("SIGTERM takes it out of the readiness check, and cuts no answer off")
         {
-            // A class lost the page that was being read aloud when a host was restarted.
-            world.mayAnswer = false;
+            // Guards against an answer that is cut off because its host is restarted.
+            fixture.mayAnswer = false;
             http_response answer;
             std::thread caller([&] { answer = get(ports[0], "/a/slow"); });
-            CHECK(holdsWithin(patience, [&] { return world.arrived == 2; }));
+            CHECK(holdsWithin(testTimeout, [&] { return fixture.arrived == 2; }));
             entry.signal(SIGTERM);
-            CHECK(holdsWithin(patience, [&] { return !isReady(world); }));
+            CHECK(holdsWithin(testTimeout, [&] { return !isReady(fixture); }));
             CHECK_FALSE(entry.exitStatus());
-            world.mayAnswer = true;
+            fixture.mayAnswer = true;
             caller.join();
             CHECK(answer.body == "whole");
-            CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+            CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
             CHECK(entry.exitStatus() == 0);
         }
     }
 
     TEST_CASE("SIGTERM while the store is silent ends it within its grace time")
     {
-        // In a rolling restart beside a silent store, each daemon logged "not_unregistered",
-        // "deadline passed" a second after SIGTERM. Its row in the store was waited for whatever
-        // the grace time, so a daemon with one of a second was killed in the middle of its answers.
-        platform_fixture world;
+        // Guards against a shutdown that takes longer than the grace time. The daemon waited for
+        // the removal of its row whatever the grace time: with a silent store it logged
+        // "not_unregistered", "deadline passed" a second after SIGTERM, so with a grace time of a
+        // second it was killed in the middle of its answers.
+        platform_fixture fixture;
         constexpr int graceSeconds = 1;
-        world.writeSettings(graceSeconds);
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
-        world.isStoreSilent = true;
+        fixture.writeSettings(graceSeconds);
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        fixture.isStoreSilent = true;
         entry.signal(SIGTERM);
-        CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+        CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 0);
         const std::string log = entry.log();
         CHECK(log.find("not_unregistered") != std::string::npos);
@@ -240,23 +241,23 @@
 
     TEST_CASE("a replica that starts again under its id takes work again")
     {
-        // A replica drained for planned work, crashed, and came back under its id. Its requests
-        // went unserved for the rest of the day: the daemons remembered that it was leaving.
-        platform_fixture world;
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
-        const auto isServed = [&] { return get(world.ports()[0], "/a/x").body == "whole"; };
+        // Guards against a restarted replica that gets no requests: it drained, crashed and came
+        // back under its id, and for the rest of the day the daemons still regarded it as leaving.
+        platform_fixture fixture;
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        const auto isServed = [&] { return get(fixture.ports()[0], "/a/x").body == "whole"; };
         REQUIRE(isServed());
-        world.writeReplica("draining", platform_fixture::bornFirst, 2);
-        REQUIRE(holdsWithin(patience, [&] { return !isServed(); }));
-        world.writeReplica("ready", platform_fixture::bornFirst + 5000, 1);
-        CHECK(holdsWithin(patience, isServed));
+        fixture.writeReplica("draining", platform_fixture::bornFirst, 2);
+        REQUIRE(holdsWithin(testTimeout, [&] { return !isServed(); }));
+        fixture.writeReplica("ready", platform_fixture::bornFirst + 5000, 1);
+        CHECK(holdsWithin(testTimeout, isServed));
 
         SUBCASE("and a last word of its old process, written late, changes nothing")
         {
-            world.writeReplica("draining", platform_fixture::bornFirst, 3);
-            world.writeRow({"servers", "", "i-2"}, "not a replica");
-            CHECK(holdsWithin(patience, [&] {
+            fixture.writeReplica("draining", platform_fixture::bornFirst, 3);
+            fixture.writeRow({"servers", "", "i-2"}, "not a replica");
+            CHECK(holdsWithin(testTimeout, [&] {
                 return entry.log().find("replica_row_unreadable") != std::string::npos;
             }));
             CHECK(isServed());
@@ -265,34 +266,36 @@
 
     TEST_CASE("a reader of the log that stands still costs no request")
     {
-        // A collector of logs stopped reading, the pipe filled up, and every daemon of the host
-        // stood still in the middle of its answers until the collector was restarted.
-        platform_fixture world;
-        const std::string log = world.folder.path() + "/entry.log";
+        // Guards against a daemon that blocks on its log: a log collector stopped reading, the pipe
+        // filled up, and every daemon of the host stalled in the middle of its answers until the
+        // collector was restarted.
+        platform_fixture fixture;
+        const std::string log = fixture.folder.path() + "/entry.log";
         constexpr mode_t ownerOnly = 0600;
         REQUIRE(mkfifo(log.c_str(), ownerOnly) == 0);
         const int unread = open(log.c_str(), O_RDWR | O_CLOEXEC);
         REQUIRE(unread >= 0);
-        child entry = world.startEntry();
-        REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
-        // Some 700 bytes a request: many times what the pipe takes, and more than the buffer.
+        child entry = fixture.startEntry();
+        REQUIRE(holdsWithin(testTimeout, [&] { return isReady(fixture); }));
+        // Some 700 bytes of log per request: many times the capacity of the pipe, and more than the
+        // log buffer.
         constexpr int requests = 2000;
         int whole = 0;
-        while (whole < requests && get(world.ports()[0], "/a/x").body == "whole")
+        while (whole < requests && get(fixture.ports()[0], "/a/x").body == "whole")
             ++whole;
         CHECK(whole == requests);
         entry.signal(SIGTERM);
-        CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+        CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 0);
         close(unread);
     }
 
     TEST_CASE("settings that can't be used are named, and it does not start")
     {
-        platform_fixture world;
-        std::ofstream(world.settingsPath()) << "ip = 3\n";
-        child entry = world.startEntry();
-        CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
+        platform_fixture fixture;
+        std::ofstream(fixture.settingsPath()) << "ip = 3\n";
+        child entry = fixture.startEntry();
+        CHECK(holdsWithin(testTimeout, [&] { return entry.exitStatus().has_value(); }));
         CHECK(entry.exitStatus() == 2);
         CHECK(entry.log().find("node_name must be a text") != std::string::npos);
     }
