--- a/bench/bench_membership.cpp
+++ b/bench/bench_membership.cpp
@@ -51,7 +51,7 @@
 
     heartbeat answer(const heartbeat &beat)
     {
-        detector.onSign(beat.from, now);
+        detector.onMessageReceived(beat.from, now);
         detector.onEvidence(beat.evidence, now);
         return {run, detector.evidence(now)};
     }
@@ -149,7 +149,7 @@
             m_costs.heartbeats.add(2 * request.size());
             m_costs.heartbeats.add(2 * response.size());
             const auto answer = decodeResponse(response);
-            d.detector.onSign(answer->from, m_now);
+            d.detector.onMessageReceived(answer->from, m_now);
             d.detector.onEvidence(answer->evidence, m_now);
         }
     }
--- a/src/inner/heartbeats.cpp
+++ b/src/inner/heartbeats.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 heartbeats::heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
-                       detector_settings settings)
+                       failure_detector_settings settings)
     : m_context(context), m_self(std::move(self)), m_innerToken(std::move(innerToken)),
       m_detector(m_self.daemon, settings),
       m_server([this](const heartbeat &beat) { return onHeartbeat(beat); })
@@ -74,7 +74,7 @@
         co_return true;
     const auto refused = asio::error::make_error_code(asio::error::connection_refused);
     if (connected.error().detail == refused.message())
-        m_detector.onRefused({to.daemon, to.incarnation}, runtime_clock::now());
+        m_detector.onConnectionRefused({to.daemon, to.incarnation}, runtime_clock::now());
     co_return false;
 }
 
@@ -113,7 +113,7 @@
 void heartbeats::take(const heartbeat &beat)
 {
     const time_point now = runtime_clock::now();
-    m_detector.onSign(beat.from, now);
+    m_detector.onMessageReceived(beat.from, now);
     m_detector.onEvidence(beat.evidence, now);
 }
 
--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -13,7 +13,7 @@
 {
 public:
     heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
-               detector_settings settings);
+               failure_detector_settings settings);
 
     /// \brief Starts to send.
     void start();
@@ -21,7 +21,10 @@
     /// \returns the response to the JSON-RPC \p request of another daemon.
     std::string answer(const std::string &request) { return m_server.answer(request); }
     std::set<daemon_id> suspects() const { return m_detector.suspects(runtime_clock::now()); }
-    std::set<daemon_run> refusing() const { return m_detector.refusing(runtime_clock::now()); }
+    std::set<daemon_run> refusing() const
+    {
+        return m_detector.runsRefusingConnections(runtime_clock::now());
+    }
 
 private:
     /// The long-lived connection to one daemon.
--- a/src/journal/batch.h
+++ b/src/journal/batch.h
@@ -43,7 +43,7 @@
 class batch_reader
 {
 public:
-    void feed(const table_row &row);
+    void addRow(const table_row &row);
     /// \returns the batches in the order of the history, or what can't be read.
     tl::expected<std::vector<journal_batch>, std::string> finish();
 
--- a/src/journal/record.cpp
+++ b/src/journal/record.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-std::string text(const json::object &o, std::string_view key)
+std::string stringField(const json::object &o, std::string_view key)
 {
     return std::string(o.at(key).as_string());
 }
 
-std::int64_t number(const json::object &o, std::string_view key)
+std::int64_t integerField(const json::object &o, std::string_view key)
 {
     return o.at(key).to_number<std::int64_t>();
 }
 
 template <class Enum>
-Enum enumerator(const json::object &o, std::string_view key)
+Enum parseEnumerator(const json::object &o, std::string_view key)
 {
-    const auto found = fromName<Enum>(text(o, key));
+    const auto found = fromName<Enum>(stringField(o, key));
     if (!found)
         throw std::runtime_error("unknown value of " + std::string(key));
     return *found;
@@ -85,9 +85,10 @@
     return bytes;
 }
 
-std::string replyIn(const json::object &o)
+std::string decodeReply(const json::object &o)
 {
-    return o.contains("reply_base64") ? fromBase64(text(o, "reply_base64")) : text(o, "reply");
+    return o.contains("reply_base64") ? fromBase64(stringField(o, "reply_base64"))
+                                      : stringField(o, "reply");
 }
 
 json::object encodeRecord(const call_finished &r)
@@ -123,47 +124,47 @@
 
 journal_record decodeRecord(const json::object &o)
 {
-    const std::string type = text(o, "type");
-    const program_id program{text(o, "program")};
+    const std::string type = stringField(o, "type");
+    const program_id program{stringField(o, "program")};
     if (type == "program_created") {
         return program_created{program,
-                               {text(o, "parent")},
-                               {text(o, "tenant")},
-                               text(o, "class"),
-                               number(o, "budget"),
-                               number(o, "deadline_ms"),
-                               number(o, "created_ms"),
-                               number(o, "max_turns"),
-                               number(o, "idle_ms")};
+                               {stringField(o, "parent")},
+                               {stringField(o, "tenant")},
+                               stringField(o, "class"),
+                               integerField(o, "budget"),
+                               integerField(o, "deadline_ms"),
+                               integerField(o, "created_ms"),
+                               integerField(o, "max_turns"),
+                               integerField(o, "idle_ms")};
     }
     if (type == "call_begun") {
         return call_begun{program,
-                          number(o, "turn"),
-                          text(o, "key"),
-                          enumerator<call_kind>(o, "kind"),
+                          integerField(o, "turn"),
+                          stringField(o, "key"),
+                          parseEnumerator<call_kind>(o, "kind"),
                           o.at("idempotent").as_bool(),
-                          number(o, "reserved"),
-                          {text(o, "engine")}};
+                          integerField(o, "reserved"),
+                          {stringField(o, "engine")}};
     }
     if (type == "call_finished") {
         return call_finished{program,
-                             number(o, "turn"),
-                             text(o, "key"),
-                             number(o, "spent"),
-                             static_cast<int>(number(o, "status")),
-                             text(o, "messages"),
-                             replyIn(o),
-                             text(o, "content_type"),
-                             {text(o, "engine")}};
+                             integerField(o, "turn"),
+                             stringField(o, "key"),
+                             integerField(o, "spent"),
+                             static_cast<int>(integerField(o, "status")),
+                             stringField(o, "messages"),
+                             decodeReply(o),
+                             stringField(o, "content_type"),
+                             {stringField(o, "engine")}};
     }
     if (type == "call_failed") {
-        return call_failed{program, number(o, "turn"), text(o, "key"),
-                           enumerator<outcome>(o, "outcome"), number(o, "spent")};
+        return call_failed{program, integerField(o, "turn"), stringField(o, "key"),
+                           parseEnumerator<outcome>(o, "outcome"), integerField(o, "spent")};
     }
     if (type == "program_ended")
-        return program_ended{program, enumerator<end_reason>(o, "reason")};
+        return program_ended{program, parseEnumerator<end_reason>(o, "reason")};
     if (type == "program_released")
-        return program_released{program, {text(o, "engine")}};
+        return program_released{program, {stringField(o, "engine")}};
     throw std::runtime_error("unknown record type " + type);
 }
 
--- a/src/ownership/cell_view.cpp
+++ b/src/ownership/cell_view.cpp
@@ -12,9 +12,9 @@
 
 json::object toJson(const member &m)
 {
-    json::array keeps;
-    for (const program_id &id : m.keeps)
-        keeps.emplace_back(id.value);
+    json::array retainedPrograms;
+    for (const program_id &id : m.retainedPrograms)
+        retainedPrograms.emplace_back(id.value);
     return {{"daemon", m.daemon.value},
             {"incarnation", m.incarnation},
             {"address", m.address},
@@ -22,21 +22,22 @@
             {"data_centre", m.dataCentre.value},
             {"draining", m.draining},
             {"joining", m.joining},
-            {"keeps", keeps}};
+            {"keeps", retainedPrograms}};
 }
 
-std::string text(const json::object &o, std::string_view key)
+std::string stringField(const json::object &o, std::string_view key)
 {
     return std::string(o.at(key).as_string());
 }
 
 member toMember(const json::object &o)
 {
-    member m{{text(o, "daemon")},      text(o, "incarnation"),   text(o, "address"),
-             text(o, "inner_address"), {text(o, "data_centre")}, o.at("draining").as_bool(),
+    member m{{stringField(o, "daemon")},      stringField(o, "incarnation"),
+             stringField(o, "address"),       stringField(o, "inner_address"),
+             {stringField(o, "data_centre")}, o.at("draining").as_bool(),
              o.at("joining").as_bool()};
     for (const json::value &id : o.at("keeps").as_array())
-        m.keeps.push_back({std::string(id.as_string())});
+        m.retainedPrograms.push_back({std::string(id.as_string())});
     return m;
 }
 
--- a/src/ownership/cell_view.h
+++ b/src/ownership/cell_view.h
@@ -21,13 +21,13 @@
     /// Where other daemons connect, as "host:port".
     std::string innerAddress;
     data_centre_id dataCentre;
-    /// A draining member owns only what it keeps and is in no look-up.
+    /// A draining member owns only what it retainedPrograms and is in no look-up.
     bool draining = false;
     /// A joining member owns nothing until all others have said which programs they keep.
     bool joining = false;
     /// Root programs that would go to another member and stay until their running calls have
     /// ended, sorted.
-    std::vector<program_id> keeps = {};
+    std::vector<program_id> retainedPrograms = {};
 
     friend bool operator==(const member &, const member &) = default;
 };
--- a/test/io/door_world.h
+++ b/test/io/door_world.h
@@ -86,8 +86,8 @@
         s.innerToken = "inner";
         s.operatorTokenSha256 = sha256Hex("operator");
         s.lease.ttl = seconds(3);
-        s.lease.renewEvery = s.lease.ttl / 3;
-        s.lease.margin = s.lease.ttl / 10;
+        s.lease.renewalInterval = s.lease.ttl / 3;
+        s.lease.clockMargin = s.lease.ttl / 10;
         return s;
     }
 
--- a/test/logic/capacity_growth_test.cpp
+++ b/test/logic/capacity_growth_test.cpp
@@ -69,7 +69,7 @@
         const time_point now(seconds(1000 + second));
         me.onView(view, now);
         me.onLeases(leasesOf(view, static_cast<std::uint64_t>(second) + 1), now, now);
-        me.setRunning(running);
+        me.setRunningFamilies(running);
         if (const auto renewal = me.pollLease(now))
             count(result, *renewal);
         for (const membership_action &action : me.poll(now))
@@ -215,7 +215,7 @@
                 const time_point now(seconds(1000 + second));
                 detector.onView(view, now);
                 for (const member &m : view.members)
-                    detector.onSign({m.daemon, m.incarnation}, now);
+                    detector.onMessageReceived({m.daemon, m.incarnation}, now);
                 sentBeats += detector.poll(now).size();
             }
             beats.push_back({static_cast<double>(members), static_cast<double>(sentBeats)});
@@ -243,10 +243,11 @@
             for (int ms = 0, turns = 0; ms < 1000; ++ms) {
                 const time_point now(milliseconds(1000 + ms));
                 for (; turns * 1000 < ms * programs; ++turns)
-                    batcher.append({makeBegun(numberedProgram(turns), 1)}, commit_need::Kept, now);
+                    batcher.append({makeBegun(numberedProgram(turns), 1)},
+                                   commit_policy::MustCommit, now);
                 for (const commit_action &a : batcher.poll(now))
                     written += std::holds_alternative<write_batch>(a);
-                batcher.onAnswer(batch_answer::Written, now);
+                batcher.onAnswer(batch_outcome::Written, now);
             }
             writes.push_back({static_cast<double>(programs), static_cast<double>(written)});
         }
--- a/test/logic/commit_batcher_test.cpp
+++ b/test/logic/commit_batcher_test.cpp
@@ -20,29 +20,29 @@
         write_batch what;
         std::string key;
     };
-    struct landed
+    struct stored_batch
     {
         journal_batch batch;
-        std::size_t place = 0;
+        std::size_t position = 0;
     };
     /// Owner of each program by view number; the row's version is the number plus 100.
     std::vector<std::vector<int>> owners = {{}, {0, 0, 1}};
-    std::map<std::string, landed> rows;
-    std::vector<write> late;
+    std::map<std::string, stored_batch> rows;
+    std::vector<write> lateWrites;
 
     fencing_number number() const { return owners.size() - 1; }
     bool apply(const write &w)
     {
         const bool ok = w.what.viewVersion == number() + 100 && !rows.count(w.key);
         if (ok)
-            rows.emplace(w.key, landed{w.what.batch, rows.size()});
+            rows.emplace(w.key, stored_batch{w.what.batch, rows.size()});
         return ok;
     }
-    void landLate(unsigned luck)
+    void applyLateWrite(unsigned randomBits)
     {
-        const std::size_t i = luck % late.size();
-        apply(late[i]);
-        late.erase(late.begin() + static_cast<std::ptrdiff_t>(i));
+        const std::size_t i = randomBits % lateWrites.size();
+        apply(lateWrites[i]);
+        lateWrites.erase(lateWrites.begin() + static_cast<std::ptrdiff_t>(i));
     }
 };
 
@@ -52,7 +52,7 @@
     daemon_model(table_model &t, int i)
         : table(t), index(i), batcher({"d" + std::to_string(i)}, "i", settings())
     {
-        learn();
+        readView();
     }
     static commit_settings settings()
     {
@@ -61,13 +61,13 @@
         return s;
     }
 
-    void learn()
+    void readView()
     {
-        known = table.number();
+        knownView = table.number();
         commit_view v;
-        v.number = known;
-        v.version = known + 100;
-        v.owns = [this](const program_id &id) { return owns(id, known); };
+        v.number = knownView;
+        v.version = knownView + 100;
+        v.owns = [this](const program_id &id) { return owns(id, knownView); };
         take(batcher.onView(std::move(v)));
     }
     bool owns(const program_id &id, fencing_number view) const
@@ -75,59 +75,59 @@
         const auto at = std::find(programs.begin(), programs.end(), id) - programs.begin();
         return table.owners[view][static_cast<std::size_t>(at)] == index;
     }
-    void append(const program_id &id, commit_need need, time_point now)
+    void append(const program_id &id, commit_policy need, time_point now)
     {
         const std::string key = std::to_string(index) + "-" + std::to_string(++lastKey);
         const auto ticket
             = batcher.append({call_begun{id, 1, key, call_kind::Model, true, 1}}, need, now);
         RC_ASSERT(ticket.has_value() || ticket.error() != append_error::TooLarge);
-        RC_ASSERT(owns(id, known) || !ticket);
+        RC_ASSERT(owns(id, knownView) || !ticket);
         if (ticket)
-            open[*ticket] = {id, key, known};
+            pendingTickets[*ticket] = {id, key, knownView};
     }
     void take(std::vector<commit_action> actions)
     {
         for (commit_action &a : actions) {
             if (auto *done = std::get_if<commit_done>(&a)) {
                 for (const commit_ticket t : done->tickets) {
-                    RC_ASSERT(open.count(t) == 1U);
-                    ended.emplace_back(open[t], done->result);
-                    open.erase(t);
+                    RC_ASSERT(pendingTickets.count(t) == 1U);
+                    completed.emplace_back(pendingTickets[t], done->result);
+                    pendingTickets.erase(t);
                 }
             } else {
-                RC_ASSERT(!asked.has_value());
-                asked = std::move(a);
+                RC_ASSERT(!pendingAction.has_value());
+                pendingAction = std::move(a);
             }
         }
     }
     /// Carries out what the batcher asked for, with an outcome picked by \p luck.
-    void network(unsigned luck, time_point now)
+    void executeAction(unsigned randomBits, time_point now)
     {
-        if (!asked)
+        if (!pendingAction)
             return;
-        const commit_action action = *std::exchange(asked, std::nullopt);
+        const commit_action action = *std::exchange(pendingAction, std::nullopt);
         const auto *write = std::get_if<write_batch>(&action);
         const std::string key
             = rowKey("c", write ? write->batch : std::get<read_back>(action).batch);
         const bool there = table.rows.count(key) > 0;
-        batch_answer answer = there ? batch_answer::Written : batch_answer::Absent;
-        if (luck % 5 == 1)
-            answer = batch_answer::Unavailable;
-        else if (write && luck % 5 == 2) // the answer is lost, with or without effect
-            (table.apply({*write, key}), answer = batch_answer::Unknown);
-        else if (write && luck % 5 == 3) // the write takes effect later, or never
-            (table.late.push_back({*write, key}), answer = batch_answer::Unknown);
+        batch_outcome answer = there ? batch_outcome::Written : batch_outcome::Absent;
+        if (randomBits % 5 == 1)
+            answer = batch_outcome::Unavailable;
+        else if (write && randomBits % 5 == 2) // the answer is lost, with or without effect
+            (table.apply({*write, key}), answer = batch_outcome::Unknown);
+        else if (write && randomBits % 5 == 3) // the write takes effect later, or never
+            (table.lateWrites.push_back({*write, key}), answer = batch_outcome::Unknown);
         else if (write && !there)
-            answer = table.apply({*write, key}) ? batch_answer::Written : batch_answer::Fenced;
+            answer = table.apply({*write, key}) ? batch_outcome::Written : batch_outcome::Fenced;
         answers.push_back(answer);
-        if (luck % 2 == 0)
-            hear(now);
+        if (randomBits % 2 == 0)
+            deliverAnswer(now);
     }
-    void hear(time_point now)
+    void deliverAnswer(time_point now)
     {
         if (answers.empty())
             return;
-        const batch_answer a = answers.front();
+        const batch_outcome a = answers.front();
         answers.erase(answers.begin());
         take(batcher.onAnswer(a, now));
     }
@@ -141,15 +141,15 @@
     table_model &table;
     int index;
     commit_batcher batcher;
-    fencing_number known = 0;
+    fencing_number knownView = 0;
     int lastKey = 0;
-    std::map<commit_ticket, appended> open;
-    std::vector<std::pair<appended, commit_result>> ended;
-    std::optional<commit_action> asked;
-    std::vector<batch_answer> answers;
+    std::map<commit_ticket, appended> pendingTickets;
+    std::vector<std::pair<appended, commit_result>> completed;
+    std::optional<commit_action> pendingAction;
+    std::vector<batch_outcome> answers;
 };
 
-void checkPromises(const table_model &table, const std::vector<daemon_model *> &daemons)
+void checkInvariants(const table_model &table, const std::vector<daemon_model *> &daemons)
 {
     std::map<std::string, std::pair<fencing_number, int>> written; // key: fence, count
     std::map<program_id, std::map<std::pair<fencing_number, std::uint64_t>, std::size_t>> history;
@@ -157,7 +157,7 @@
         for (const journal_record &r : row.batch.records) {
             auto &w = written[std::get<call_begun>(r).key];
             w = {row.batch.fence, w.second + 1};
-            history[programOf(r)][{row.batch.fence, row.batch.sequence}] = row.place;
+            history[programOf(r)][{row.batch.fence, row.batch.sequence}] = row.position;
             const daemon_id owner = row.batch.daemon;
             RC_ASSERT(daemons[owner.value == "d0" ? 0 : 1]->owns(programOf(r), row.batch.fence));
         }
@@ -170,7 +170,7 @@
         }
     }
     for (const daemon_model *d : daemons) {
-        for (const auto &[what, result] : d->ended) {
+        for (const auto &[what, result] : d->completed) {
             const auto w = written.find(what.key);
             RC_ASSERT((w == written.end() ? 0 : w->second.second)
                       == (result == commit_result::Durable ? 1 : 0));
@@ -189,13 +189,14 @@
     time_point now{};
     for (const unsigned step : steps) {
         daemon_model &d = *daemons[step / 16 % 2];
-        const unsigned luck = step / 32;
+        const unsigned randomBits = step / 32;
         switch (step % 16) {
         case 0:
         case 1:
         case 2:
         case 3:
-            d.append(programs[luck % 3], luck % 2 != 0 ? commit_need::Kept : commit_need::Refusable,
+            d.append(programs[randomBits % 3],
+                     randomBits % 2 != 0 ? commit_policy::MustCommit : commit_policy::Refusable,
                      now);
             break;
         case 4:
@@ -207,43 +208,43 @@
         case 7:
         case 8:
         case 9:
-            d.network(luck, now);
+            d.executeAction(randomBits, now);
             break;
         case 10:
-            d.hear(now);
+            d.deliverAnswer(now);
             break;
         case 11:
         case 12: // a late write and a view meet, in one order or the other
-            if (!table.late.empty() && luck % 4 != 0)
-                table.landLate(luck);
-            if (luck % 8 > 2)
-                table.owners.push_back({static_cast<int>(luck / 8 % 2),
-                                        static_cast<int>(luck / 16 % 2),
-                                        static_cast<int>(luck / 32 % 2)});
-            if (luck % 3 != 0)
-                d.learn();
+            if (!table.lateWrites.empty() && randomBits % 4 != 0)
+                table.applyLateWrite(randomBits);
+            if (randomBits % 8 > 2)
+                table.owners.push_back({static_cast<int>(randomBits / 8 % 2),
+                                        static_cast<int>(randomBits / 16 % 2),
+                                        static_cast<int>(randomBits / 32 % 2)});
+            if (randomBits % 3 != 0)
+                d.readView();
             break;
         default:
-            d.learn();
+            d.readView();
             break;
         }
-        checkPromises(table, daemons);
+        checkInvariants(table, daemons);
     }
     // The network heals; what is late may still land before each step.
     for (int i = 0; i < 60; ++i) {
         for (daemon_model *d : daemons) {
-            d->learn();
+            d->readView();
             now += seconds(3);
             d->take(d->batcher.poll(now));
-            d->network(5, now);
-            d->hear(now);
+            d->executeAction(5, now);
+            d->deliverAnswer(now);
         }
-        if (!table.late.empty())
-            table.landLate(0);
+        if (!table.lateWrites.empty())
+            table.applyLateWrite(0);
     }
-    checkPromises(table, daemons);
-    RC_ASSERT(a.open.empty());
-    RC_ASSERT(b.open.empty());
+    checkInvariants(table, daemons);
+    RC_ASSERT(a.pendingTickets.empty());
+    RC_ASSERT(b.pendingTickets.empty());
 }
 
 } // namespace
@@ -266,23 +267,23 @@
     table_model table;
     daemon_model d(table, 0);
     time_point now{};
-    d.append(programs[0], commit_need::Kept, now);
-    d.append(programs[1], commit_need::Kept, now);
+    d.append(programs[0], commit_policy::MustCommit, now);
+    d.append(programs[1], commit_policy::MustCommit, now);
     d.take(d.batcher.poll(now));
-    d.asked.reset();
-    d.take(d.batcher.onAnswer(batch_answer::Unknown, now));
+    d.pendingAction.reset();
+    d.take(d.batcher.onAnswer(batch_outcome::Unknown, now));
     table.owners.push_back({1, 0, 1});
-    d.learn();
-    CHECK(d.ended.empty());
+    d.readView();
+    CHECK(d.completed.empty());
     for (int i = 0; i < 4; ++i) {
         now += seconds(1);
         d.take(d.batcher.poll(now));
-        d.network(0, now);
+        d.executeAction(0, now);
     }
-    REQUIRE(d.ended.size() == 2);
-    CHECK(d.ended[0].first.program == programs[0]);
-    CHECK(d.ended[0].second == commit_result::Lost);
-    CHECK(d.ended[1].second == commit_result::Durable);
+    REQUIRE(d.completed.size() == 2);
+    CHECK(d.completed[0].first.program == programs[0]);
+    CHECK(d.completed[0].second == commit_result::Lost);
+    CHECK(d.completed[1].second == commit_result::Durable);
 }
 
 TEST_CASE("A store outage of an hour")
@@ -294,33 +295,33 @@
 
     SUBCASE("new work is refused at once, and what ran is kept until the store is back")
     {
-        d.append(programs[0], commit_need::Kept, now);
-        d.append(programs[0], commit_need::Refusable, now);
+        d.append(programs[0], commit_policy::MustCommit, now);
+        d.append(programs[0], commit_policy::Refusable, now);
         for (int i = 0; i < 3600; ++i) {
             now += seconds(1);
             d.take(d.batcher.poll(now));
-            if (std::exchange(d.asked, std::nullopt))
-                d.take(d.batcher.onAnswer(batch_answer::Unavailable, now));
+            if (std::exchange(d.pendingAction, std::nullopt))
+                d.take(d.batcher.onAnswer(batch_outcome::Unavailable, now));
         }
-        REQUIRE(d.ended.size() == 1);
-        CHECK(d.ended[0].second == commit_result::Refused);
-        CHECK(d.batcher.append({record}, commit_need::Refusable, now).error()
+        REQUIRE(d.completed.size() == 1);
+        CHECK(d.completed[0].second == commit_result::Refused);
+        CHECK(d.batcher.append({record}, commit_policy::Refusable, now).error()
               == append_error::Busy);
-        CHECK(d.batcher.append({record}, commit_need::Kept, now).has_value());
+        CHECK(d.batcher.append({record}, commit_policy::MustCommit, now).has_value());
         now += seconds(2);
         d.take(d.batcher.poll(now));
-        d.network(0, now);
-        CHECK(d.ended.back().second == commit_result::Durable);
+        d.executeAction(0, now);
+        CHECK(d.completed.back().second == commit_result::Durable);
     }
     SUBCASE("a record that waits behind a stuck write is refused when its time is over")
     {
-        d.append(programs[0], commit_need::Kept, now);
+        d.append(programs[0], commit_policy::MustCommit, now);
         d.take(d.batcher.poll(now));
-        d.append(programs[0], commit_need::Refusable, now);
+        d.append(programs[0], commit_policy::Refusable, now);
         now = *d.batcher.wakeAt();
         d.take(d.batcher.poll(now));
-        REQUIRE(d.ended.size() == 1);
-        CHECK(d.ended[0].second == commit_result::Refused);
+        REQUIRE(d.completed.size() == 1);
+        CHECK(d.completed[0].second == commit_result::Refused);
     }
 }
 
@@ -341,7 +342,7 @@
                 CHECK(row.value.size() <= maxRowBytes);
                 CHECK(boost::json::parse(boost::json::serialize(boost::json::string(row.value)))
                       == boost::json::string(row.value));
-                reader.feed({row.key, row.value, 1});
+                reader.addRow({row.key, row.value, 1});
             }
         }
         const auto read = reader.finish();
@@ -353,8 +354,8 @@
     {
         batch_reader reader;
         const auto rows = encodeRows("c", journal_batch{{"d0"}, "i", 7, 3, {large}});
-        reader.feed({rows[0].key, rows[0].value, 1});
-        reader.feed({rows[1].key, rows[1].value, 1});
+        reader.addRow({rows[0].key, rows[0].value, 1});
+        reader.addRow({rows[1].key, rows[1].value, 1});
         CHECK_FALSE(reader.finish().has_value());
     }
     SUBCASE("that no write can hold are turned away and block nothing")
@@ -362,7 +363,8 @@
         table_model table;
         daemon_model d(table, 0);
         large.reply.resize(9'000'000, 'x');
-        CHECK(d.batcher.append({large}, commit_need::Kept, {}).error() == append_error::TooLarge);
+        CHECK(d.batcher.append({large}, commit_policy::MustCommit, {}).error()
+              == append_error::TooLarge);
         CHECK(d.batcher.poll({}).empty());
     }
 }
--- a/test/logic/failure_detector_test.cpp
+++ b/test/logic/failure_detector_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const detector_settings rules;
+const failure_detector_settings settings;
 
 /// \brief Detectors of one cell; some daemons are dead, some paused, some pairs cut from each
 /// other.
@@ -17,7 +17,7 @@
         for (int i = 0; i < size; ++i)
             view.members.push_back(makeMember(i, 1));
         for (const member &m : view.members) {
-            detectors.emplace_back(m.daemon, rules);
+            detectors.emplace_back(m.daemon, settings);
             detectors.back().onView(view, now);
         }
     }
@@ -32,15 +32,15 @@
     {
         failure_detector &sender = detectors[static_cast<std::size_t>(from)];
         failure_detector &receiver = detectors[static_cast<std::size_t>(to)];
-        if (dead.count(to) > 0U || refusedTo.count({from, to}) > 0U) {
-            sender.onRefused(run(to), now);
+        if (dead.count(to) > 0U || refusedLinks.count({from, to}) > 0U) {
+            sender.onConnectionRefused(run(to), now);
             return;
         }
         if (paused.count(to) > 0U || cut.count({from, to}) > 0U)
             return;
-        receiver.onSign(run(from), now);
+        receiver.onMessageReceived(run(from), now);
         receiver.onEvidence(sender.evidence(now), now);
-        sender.onSign(run(to), now);
+        sender.onMessageReceived(run(to), now);
         sender.onEvidence(receiver.evidence(now), now);
     }
 
@@ -60,7 +60,7 @@
     std::set<int> dead;
     std::set<int> paused;
     std::set<std::pair<int, int>> cut;
-    std::set<std::pair<int, int>> refusedTo;
+    std::set<std::pair<int, int>> refusedLinks;
     time_point now = start;
 };
 
@@ -82,14 +82,15 @@
         run(r, seconds(2));
         const int victim = *rc::gen::inRange(0, size);
         r.dead.insert(victim);
-        run(r, 2 * rules.beatEvery + tickStep);
-        int knowing = 0;
+        run(r, 2 * settings.heartbeatInterval + tickStep);
+        int observersOfFailure = 0;
         for (int i = 0; i < size; ++i) {
-            const auto refusing = r.detectors[static_cast<std::size_t>(i)].refusing(r.now);
-            knowing += i != victim && refusing.count(r.run(victim)) > 0U ? 1 : 0;
+            const auto refusing
+                = r.detectors[static_cast<std::size_t>(i)].runsRefusingConnections(r.now);
+            observersOfFailure += i != victim && refusing.count(r.run(victim)) > 0U ? 1 : 0;
             RC_ASSERT(refusing.size() <= 1U);
         }
-        RC_ASSERT(knowing >= std::min(size - 1, 2));
+        RC_ASSERT(observersOfFailure >= std::min(size - 1, 2));
     }));
 }
 
@@ -98,7 +99,7 @@
     CHECK(rc::check("cuts, pauses, and one daemon that is refused everywhere", [] {
         const int size = *rc::gen::inRange(3, 12);
         ring r(size);
-        const int liar = *rc::gen::inRange(0, size);
+        const int falseObserver = *rc::gen::inRange(0, size);
         for (int step = 0; step < 120; ++step) {
             const int a = *rc::gen::inRange(0, size);
             const int b = *rc::gen::inRange(0, size);
@@ -116,13 +117,13 @@
                 r.paused.erase(a);
                 break;
             case 4:
-                r.refusedTo.insert({liar, b});
+                r.refusedLinks.insert({falseObserver, b});
                 break;
             default:
                 r.tick(milliseconds(*rc::gen::inRange(10, 600)));
             }
             for (const failure_detector &d : r.detectors)
-                RC_ASSERT(d.refusing(r.now).empty());
+                RC_ASSERT(d.runsRefusingConnections(r.now).empty());
         }
     }));
 }
@@ -132,10 +133,10 @@
     ring r(5);
     run(r, seconds(2));
     r.paused.insert(2);
-    run(r, rules.suspectAfter + 2 * rules.beatEvery);
+    run(r, settings.silenceTimeout + 2 * settings.heartbeatInterval);
     CHECK(r.detectors[0].suspects(r.now) == std::set<daemon_id>{r.run(2).daemon});
     r.paused.clear();
-    run(r, rules.evidenceLife + 2 * rules.beatEvery);
+    run(r, settings.evidenceTtl + 2 * settings.heartbeatInterval);
     for (const failure_detector &d : r.detectors)
         CHECK(d.suspects(r.now).empty());
 }
@@ -144,8 +145,8 @@
 {
     for (const int size : {1, 2, 4, 20}) {
         const ring r(size);
-        CHECK(successorsOf(r.view, r.run(0).daemon, rules.fanOut).size()
-              == std::min<std::size_t>(rules.fanOut, static_cast<std::size_t>(size) - 1));
+        CHECK(ringSuccessorsOf(r.view, r.run(0).daemon, settings.fanOut).size()
+              == std::min<std::size_t>(settings.fanOut, static_cast<std::size_t>(size) - 1));
     }
 }
 
@@ -157,40 +158,40 @@
     for (int i = 0; i < 6; ++i)
         view.members.push_back(makeMember(i, 1));
     const member &self = view.members.front();
-    failure_detector detector(self.daemon, rules);
+    failure_detector detector(self.daemon, settings);
     detector.onView(view, start);
-    const member other = successorsOf(view, self.daemon, 1).front();
+    const member other = ringSuccessorsOf(view, self.daemon, 1).front();
     const daemon_run run{other.daemon, other.incarnation};
 
     SUBCASE("refusals that others saw count for their life only")
     {
         const time_point seen = start + milliseconds(100);
-        detector.onEvidence({{run, {"x"}, failure_sign::Refused, duration(0)},
-                             {run, {"y"}, failure_sign::Refused, duration(0)}},
+        detector.onEvidence({{run, {"x"}, failure_kind::Refused, duration(0)},
+                             {run, {"y"}, failure_kind::Refused, duration(0)}},
                             seen);
-        CHECK(detector.refusing(seen).count(run) == 1);
+        CHECK(detector.runsRefusingConnections(seen).count(run) == 1);
         CHECK(detector.suspects(seen).count(run.daemon) == 1);
-        CHECK(detector.refusing(seen + rules.evidenceLife).empty());
-        CHECK(detector.suspects(seen + rules.evidenceLife).empty());
+        CHECK(detector.runsRefusingConnections(seen + settings.evidenceTtl).empty());
+        CHECK(detector.suspects(seen + settings.evidenceTtl).empty());
     }
     SUBCASE("an own sign of life takes back what was told to others")
     {
         const time_point seen = start + milliseconds(100);
-        detector.onRefused(run, seen);
+        detector.onConnectionRefused(run, seen);
         CHECK(detector.evidence(seen).size() == 1);
-        detector.onSign(run, seen + milliseconds(1));
+        detector.onMessageReceived(run, seen + milliseconds(1));
         CHECK(detector.evidence(seen + milliseconds(1)).empty());
     }
     SUBCASE("silence counts from the first heartbeat, not from the view on")
     {
-        const std::vector<member> order = successorsOf(view, self.daemon, view.members.size());
+        const std::vector<member> order = ringSuccessorsOf(view, self.daemon, view.members.size());
         const member &last = order.back();
-        const time_point later = start + rules.suspectAfter + seconds(10);
+        const time_point later = start + settings.silenceTimeout + seconds(10);
         const cell_view smaller{2, 2, {self, last}};
         detector.onView(smaller, later);
         detector.poll(later);
         CHECK(detector.suspects(later).empty());
-        detector.poll(later + rules.suspectAfter);
-        CHECK(detector.suspects(later + rules.suspectAfter).count(last.daemon) == 1);
+        detector.poll(later + settings.silenceTimeout);
+        CHECK(detector.suspects(later + settings.silenceTimeout).count(last.daemon) == 1);
     }
 }
--- a/test/logic/lease_test.cpp
+++ b/test/logic/lease_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const lease_settings rules;
+const lease_settings settings;
 const time_point start{seconds(1000)};
 
 lease_record record(std::uint64_t counter)
@@ -18,48 +18,48 @@
 
 TEST_CASE("The holder counts its lease from the sending of the renewal")
 {
-    lease_holder holder(rules);
+    lease_holder holder(settings);
     CHECK_FALSE(holder.holds(start));
     holder.onRenewed(start);
-    CHECK(holder.holds(start + rules.ttl - rules.margin - milliseconds(1)));
-    CHECK_FALSE(holder.holds(start + rules.ttl - rules.margin));
+    CHECK(holder.holds(start + settings.ttl - settings.clockMargin - milliseconds(1)));
+    CHECK_FALSE(holder.holds(start + settings.ttl - settings.clockMargin));
     SUBCASE("an answer that comes late does not shorten it")
     {
         holder.onRenewed(start + seconds(1));
         holder.onRenewed(start);
-        CHECK(holder.holds(start + rules.ttl));
+        CHECK(holder.holds(start + settings.ttl));
     }
 }
 
 TEST_CASE("An observer sees a lease lapse by its counter alone")
 {
-    lease_observer observer(rules);
-    const duration life = rules.ttl + rules.margin;
+    lease_observer observer(settings);
+    const duration life = settings.ttl + settings.clockMargin;
     observer.onRead({record(5)}, start, start);
-    CHECK_FALSE(observer.hasLapsed({"a"}, "1"));
+    CHECK_FALSE(observer.hasExpired({"a"}, "1"));
     SUBCASE("after its life, by a read that shows it")
     {
         observer.onRead({record(5)}, start + life, start + life);
-        CHECK(observer.hasLapsed({"a"}, "1"));
-        CHECK_FALSE(observer.hasLapsed({"a"}, "2"));
+        CHECK(observer.hasExpired({"a"}, "1"));
+        CHECK_FALSE(observer.hasExpired({"a"}, "2"));
     }
     SUBCASE("a renewal starts a new life")
     {
         observer.onRead({record(6)}, start + seconds(1), start + seconds(1));
         observer.onRead({record(6)}, start + life, start + life);
-        CHECK_FALSE(observer.hasLapsed({"a"}, "1"));
+        CHECK_FALSE(observer.hasExpired({"a"}, "1"));
     }
     SUBCASE("an old renewal that the table applied late is no sign of life")
     {
         observer.onRead({record(4)}, start + seconds(1), start + seconds(1));
         observer.onRead({record(4)}, start + life, start + life);
-        CHECK(observer.hasLapsed({"a"}, "1"));
+        CHECK(observer.hasExpired({"a"}, "1"));
     }
     SUBCASE("an older read proves nothing")
     {
         observer.onRead({record(6)}, start + seconds(2), start + seconds(2));
         observer.onRead({record(5)}, start, start + life + seconds(3));
-        CHECK_FALSE(observer.hasLapsed({"a"}, "1"));
+        CHECK_FALSE(observer.hasExpired({"a"}, "1"));
         CHECK(observer.row({"a"})->counter == 6);
     }
 }
--- a/test/logic/placement_test.cpp
+++ b/test/logic/placement_test.cpp
@@ -19,7 +19,7 @@
 TEST_CASE("Placement of programs")
 {
     cell_view view = someView(4);
-    const std::vector<program_id> programs = somePrograms();
+    const std::vector<program_id> programs = testPrograms();
     SUBCASE("a family lives on one member")
     {
         for (const program_id &root : programs)
@@ -28,7 +28,7 @@
     SUBCASE("the view survives its text")
     {
         view.members[1].joining = true;
-        view.members[2].keeps = {programs[0], programs[1]};
+        view.members[2].retainedPrograms = {programs[0], programs[1]};
         const auto read = decodeView({"view/main", encode(view), 1});
         REQUIRE(read);
         CHECK(read->members == view.members);
@@ -46,9 +46,9 @@
     SUBCASE("a draining member is in no look-up and owns what it keeps")
     {
         view.members[0].draining = true;
-        view.members[0].keeps = {programs[3]};
+        view.members[0].retainedPrograms = {programs[3]};
         CHECK(ownerOf(view, programs[3]) == &view.members[0]);
-        CHECK(nextOwnerOf(view, programs[3]) != &view.members[0]);
+        CHECK(ownerAfterPendingChanges(view, programs[3]) != &view.members[0]);
         for (const member *m : preferenceOrder(view, programs[3]))
             CHECK(m != &view.members[0]);
         CHECK(ownerOf(view, programs[4]) != &view.members[0]);
