--- a/src/ownership/cell_view.h
+++ b/src/ownership/cell_view.h
@@ -14,33 +14,35 @@
 struct member
 {
     daemon_id daemon;
-    /// Random id of this run of the daemon; a restarted daemon has another.
+    /// Random id of this process run; a restart of the daemon gets a new one.
     std::string incarnation;
-    /// Where callers connect, as "host:port".
+    /// Address for clients, as "host:port".
     std::string address;
-    /// Where other daemons connect, as "host:port".
+    /// Address for other daemons, as "host:port".
     std::string innerAddress;
     data_centre_id dataCentre;
-    /// A draining member owns only what it retainedPrograms and is in no look-up.
+    /// A draining member owns only its retained programs and is not offered in look-ups.
     bool draining = false;
-    /// A joining member owns nothing until all others have said which programs they keep.
+    /// A joining member owns no program until every other member has published which programs it
+    /// retains.
     bool joining = false;
-    /// Root programs that would go to another member and stay until their running calls have
-    /// ended, sorted.
+    /// Sorted ids of the root programs that hash to another member but stay at this one until their
+    /// running calls have ended.
     std::vector<program_id> retainedPrograms = {};
 
     friend bool operator==(const member &, const member &) = default;
 };
 
-/// \brief The members of a cell as the table has them: the single place that says who owns what.
+/// \brief The membership view of a cell, as stored in the table: the only source of truth for
+/// program ownership.
 ///
-/// The view is one row. Every durable write of a daemon checks that the row still has the version
-/// that the daemon knows, so a daemon that missed a change can write nothing.
+/// The view is one row. Every durable write of a daemon is conditional on the row version that the
+/// daemon knows, so a daemon with an outdated view cannot write anything.
 struct cell_view
 {
-    /// Version of the row; 0 when there is no view yet.
+    /// Version of the row; 0 if the row does not exist yet.
     row_version version = 0;
-    /// Grows by one with each view of the cell.
+    /// Fencing number; incremented by one with each view of the cell.
     fencing_number number = 0;
     std::vector<member> members;
 
@@ -50,7 +52,7 @@
 
 /// \returns the value of the row that holds \p view.
 std::string encode(const cell_view &view);
-/// \returns the view in \p row, or what is wrong with it.
+/// \returns the view decoded from \p row, or a description of the decoding error.
 tl::expected<cell_view, std::string> decodeView(const table_row &row);
 
 } // namespace azurehill
--- a/src/ownership/failure_detector.cpp
+++ b/src/ownership/failure_detector.cpp
@@ -36,7 +36,8 @@
         const bool before = std::any_of(m_watched.begin(), m_watched.end(), [&](const member &w) {
             return w.daemon == m.daemon && w.incarnation == m.incarnation;
         });
-        // Silence counts from the first heartbeat on: nobody sent this one any before.
+        // The silence timeout starts with the first heartbeat: this daemon has not sent any to the
+        // member before.
         if (!before)
             peers[{m.daemon, m.incarnation}].lastMessageAt = now;
     }
@@ -61,7 +62,7 @@
 void failure_detector::onEvidence(const std::vector<failure_evidence> &evidence, time_point now)
 {
     for (const failure_evidence &e : evidence) {
-        // What this daemon saw itself it knows better than what comes back of it.
+        // This daemon's own observations are more recent than their echo from other daemons.
         if (e.observer != m_self && e.run.daemon != m_self)
             recordObservation(e.run, e.observer, {e.kind, now - e.age});
     }
@@ -114,7 +115,7 @@
                 result.push_back({run, observer, seen.kind, now - seen.at});
         }
     }
-    // The newest first: they are what others don't know yet.
+    // Newest first: other daemons are the least likely to have these yet.
     std::stable_sort(
         result.begin(), result.end(),
         [](const failure_evidence &a, const failure_evidence &b) { return a.age < b.age; });
@@ -128,7 +129,7 @@
     std::set<daemon_id> result;
     for (const auto &[run, known] : m_peers) {
         const peer &p = known; // the linter's clang 14 can't capture a structured binding
-        // A sign of life seen here goes before what others saw earlier.
+        // A message received here overrides failures that others observed before it.
         const bool suspected = std::any_of(
             p.latestByObserver.begin(), p.latestByObserver.end(), [&](const auto &entry) {
                 return isFresh(entry.second, now) && entry.second.at > p.lastMessageAt;
--- a/src/ownership/failure_detector.h
+++ b/src/ownership/failure_detector.h
@@ -12,18 +12,19 @@
 struct failure_detector_settings
 {
     duration heartbeatInterval = milliseconds(500);
-    /// How many others each daemon sends heartbeats to, however large the cell.
+    /// Number of members to which each daemon sends heartbeats, independent of the size of the
+    /// cell.
     std::size_t fanOut = 3;
-    /// Silence after which a daemon is suspected.
+    /// A daemon that has sent no message for this long is suspected.
     duration silenceTimeout = milliseconds(1600);
-    /// How long a sign of failure counts unless it is seen again.
+    /// How long an observed failure remains valid unless it is observed again.
     duration evidenceTtl = seconds(3);
-    /// Most signs in one message.
+    /// Maximum number of observations in one message.
     std::size_t maxEvidencePerMessage = 16;
 };
 
-/// \brief A sign that a daemon has failed. Silent: heartbeats got no answer. Refused: its host
-/// answered that nobody listens at its port.
+/// \brief How a failure was observed. Silent: heartbeats were not answered. Refused: the host is up
+/// and refused the connection, so no process listens at the daemon's port.
 enum class failure_kind { Silent, Refused };
 
 template <>
@@ -32,20 +33,22 @@
     static constexpr std::array<std::string_view, 2> names = {"silent", "refused"};
 };
 
-/// \brief What one daemon saw of another.
+/// \brief One daemon's observation that another has failed, as exchanged in heartbeats.
 struct failure_evidence
 {
     daemon_run run;
     daemon_id observer;
     failure_kind kind = failure_kind::Silent;
-    /// Time since it was seen, so that no two clocks are compared.
+    /// Time since the observation. An age is sent instead of a time stamp so that clocks of
+    /// different hosts are never compared.
     duration age{};
 };
 
-/// \brief Decides whom to send heartbeats, who is suspected and who refuses connections.
+/// \brief Heartbeat failure detector: selects the members to send heartbeats to, and reports which
+/// members are suspected and which refuse connections.
 ///
-/// Each daemon watches its successors on a hash ring over the view. The watchers of one daemon
-/// follow each other on the ring, so they hear each other's evidence with the next heartbeat.
+/// Each daemon watches its successors on a hash ring over the view. The watchers of one daemon are
+/// neighbours on the ring, so they exchange their evidence with the next heartbeat.
 class failure_detector
 {
 public:
@@ -53,22 +56,22 @@
         : m_self(std::move(self)), m_settings(settings)
     { }
 
-    /// \brief Takes in the members to watch.
+    /// \brief Sets the members to watch.
     void onView(const cell_view &view, time_point now);
-    /// \brief Notes a message from \p run: an answer, or a heartbeat of its own.
+    /// \brief Records a message from \p run: a heartbeat or the answer to one.
     void onMessageReceived(const daemon_run &run, time_point now);
-    /// \brief Notes that the host of \p run refused a connection to its port.
+    /// \brief Records that the host of \p run refused a connection to the daemon's port.
     void onConnectionRefused(const daemon_run &run, time_point now);
-    /// \brief Takes in what another daemon knows.
+    /// \brief Merges the evidence received from another daemon.
     void onEvidence(const std::vector<failure_evidence> &evidence, time_point now);
 
     /// \returns the members to which a heartbeat is due at \p now.
     std::vector<member> poll(time_point now);
-    /// \returns what to tell others.
+    /// \returns the valid evidence to send to other daemons, newest first.
     std::vector<failure_evidence> evidence(time_point now) const;
-    /// \returns the daemons to leave out of look-ups.
+    /// \returns the suspected daemons, which are excluded from look-ups.
     std::set<daemon_id> suspects(time_point now) const;
-    /// \returns the runs whose host refused connections to two observers.
+    /// \returns the runs for which two observers saw a refused connection.
     std::set<daemon_run> runsRefusingConnections(time_point now) const;
 
 private:
--- a/src/ownership/lease.cpp
+++ b/src/ownership/lease.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Lives of a lease after which a row that stands still is deleted.
+/// Number of TTLs without a renewal after which a lease row is deleted.
 constexpr int abandonedAfterTtls = 10;
 
 } // namespace
@@ -41,7 +41,7 @@
 
 void lease_holder::onRenewed(time_point sentAt)
 {
-    // Answers may come in another order than their renewals went out.
+    // Responses may arrive in a different order than the renewals were sent.
     m_renewedAt = m_renewedAt ? std::max(*m_renewedAt, sentAt) : sentAt;
 }
 
@@ -66,7 +66,8 @@
         m_rows[lease.daemon] = lease;
         const auto [it, isNew] = m_observedRuns.try_emplace(
             daemon_run{lease.daemon, lease.incarnation}, observed_counter{lease.counter, now});
-        // A lower counter is an old renewal that the table applied late: no sign of life.
+        // A lower counter is an old renewal that the table applied late; it does not show that the
+        // daemon is alive.
         if (!isNew && lease.counter > it->second.counter)
             it->second = {lease.counter, now};
     }
@@ -75,7 +76,7 @@
 
 void lease_observer::pruneEndedRuns()
 {
-    // Runs that ended long ago; those that are still members are watched again at once.
+    // Removes runs that ended long ago. Those that are still members are watched again immediately.
     std::erase_if(m_observedRuns, [this](const auto &entry) {
         const lease_record *lease = row(entry.first.daemon);
         const bool listed = lease && lease->incarnation == entry.first.incarnation;
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -14,14 +14,15 @@
 
 struct lease_settings
 {
-    /// How long a lease lasts after its last renewal.
+    /// How long a lease is valid after its last renewal.
     duration ttl = seconds(3);
     duration renewalInterval = seconds(1);
-    /// What a holder gives up early and an observer waits longer, for clocks of different speed.
+    /// Allowance for clocks that run at different speeds: the holder stops this much before the TTL
+    /// and an observer waits this much beyond it.
     duration clockMargin = milliseconds(300);
 };
 
-/// \brief One run of a daemon.
+/// \brief One process run of a daemon.
 struct daemon_run
 {
     daemon_id daemon;
@@ -30,36 +31,37 @@
     friend auto operator<=>(const daemon_run &, const daemon_run &) = default;
 };
 
-/// \brief What a daemon's row says of its lease.
+/// \brief Contents of a daemon's lease row.
 struct lease_record
 {
     daemon_id daemon;
     std::string incarnation;
-    /// Grows with each renewal; observers watch it instead of comparing clocks.
+    /// Incremented with each renewal; observers watch it for changes instead of comparing clocks.
     std::uint64_t counter = 0;
-    /// Number of the newest view whose gained programs this daemon has loaded.
+    /// Number of the newest view for which this daemon has loaded the programs it gained.
     fencing_number loadedView = 0;
-    /// Number of the newest view that lists all programs which this daemon retainedPrograms.
+    /// Number of the newest view that lists all programs that this daemon has to retain.
     fencing_number preparedView = 0;
-    /// Version of the row as read; not part of its value.
+    /// Version of the row as read; not part of the stored value.
     row_version version = 0;
 };
 
 std::string encode(const lease_record &lease);
 std::optional<lease_record> decodeLease(std::string_view text);
 
-/// \brief The holder's side of a lease.
+/// \brief Tracks the validity of the lease that this daemon holds.
 class lease_holder
 {
 public:
     explicit lease_holder(lease_settings settings) : m_settings(settings) { }
 
-    /// \brief Notes that a renewal sent at \p sentAt took effect.
+    /// \brief Records that a renewal sent at \p sentAt took effect.
     ///
-    /// The lease is counted from the sending: the table may have applied it at any later time.
+    /// The lease starts when the renewal is sent, because the table may have applied it at any time
+    /// after that.
     void onRenewed(time_point sentAt);
-    /// \returns whether the lease holds at \p now. Asked immediately before each effect: a process
-    /// that was paused beyond its lease sees it here.
+    /// \returns whether the lease is valid at \p now. Must be checked immediately before each
+    /// effect, so that a process that was paused for longer than its lease stops.
     bool holds(time_point now) const;
     /// \returns when the next renewal is due.
     time_point nextRenewalAt() const;
@@ -69,31 +71,35 @@
     std::optional<time_point> m_renewedAt;
 };
 
-/// \brief Watches the leases of others, on this machine's clock alone.
+/// \brief Detects expired leases of other daemons, using only the local clock.
 ///
-/// One run of a daemon is watched apart from the next: renewals of a restarted daemon must not keep
-/// its former run among the members.
+/// Each run of a daemon is watched separately: renewals of a restarted daemon must not keep its
+/// previous run among the members.
 class lease_observer
 {
 public:
     explicit lease_observer(lease_settings settings) : m_settings(settings) { }
 
-    /// \brief Takes in all leases of the cell. An answer to an older read than the last is dropped.
-    /// \param sentAt when the read was sent: what it shows was true at that time or later.
+    /// \brief Processes a read of all leases of the cell. The result of a read older than the last
+    /// one is ignored.
+    /// \param sentAt when the read was sent; the result reflects the table at that time or later.
     void onRead(const std::vector<lease_record> &leases, time_point sentAt, time_point now);
-    /// \returns whether a read showed the lease standing still for its whole life. Time without a
-    /// read proves nothing: an observer whose reads fail would remove daemons that renew.
+    /// \returns whether a read showed that the lease was not renewed for its whole TTL. Time
+    /// without a successful read does not count: otherwise an observer whose reads fail would
+    /// remove daemons that renew their leases.
     bool hasExpired(const daemon_id &daemon, const std::string &incarnation) const;
-    /// \returns whether a read showed the lease standing still for clearly longer than a renewal
-    /// takes. That alone proves no death: a slow table looks the same.
+    /// \returns whether a read showed that the lease was not renewed for one and a half renewal
+    /// intervals. This alone does not prove that the daemon has failed: a slow table has the same
+    /// effect.
     bool hasMissedRenewal(const daemon_run &run) const;
-    /// \brief Starts to watch a run of \p daemon even if its lease was never read.
+    /// \brief Starts watching a run of \p daemon, even if its lease was never read.
     void watch(const daemon_id &daemon, const std::string &incarnation, time_point now);
-    /// \returns when the last read that counts was sent.
+    /// \returns when the newest processed read was sent.
     time_point lastRead() const { return m_lastRead; }
-    /// \returns the row of \p daemon as last read, or nullptr when there was none.
+    /// \returns the lease row of \p daemon as last read, or nullptr if there was none.
     const lease_record *row(const daemon_id &daemon) const;
-    /// \returns the leases that stood still for many lives: of daemons that are gone for good.
+    /// \returns the leases that have not been renewed for many TTLs; their daemons will not come
+    /// back.
     std::vector<lease_record> abandonedLeases() const;
 
 private:
@@ -102,7 +108,7 @@
         std::uint64_t counter = 0;
         time_point changedAt;
     };
-    bool hasBeenUnchangedFor(const daemon_run &run, duration life) const;
+    bool hasBeenUnchangedFor(const daemon_run &run, duration period) const;
     void pruneEndedRuns();
 
     lease_settings m_settings;
--- a/src/ownership/membership.cpp
+++ b/src/ownership/membership.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Shortest time between two changes of the view that only give programs up: each change makes
-/// every member look for gains.
+/// Minimum time between two changes of the view that only release retained programs. Each change
+/// makes every member check whether it gained programs.
 constexpr duration minHandOverInterval = seconds(1);
-/// Lives of a lease without a read of the view after which a daemon renews no more.
+/// Number of lease TTLs without a read of the view after which a daemon stops renewing its lease.
 constexpr int maxTtlsWithoutView = 20;
 
 } // namespace
@@ -31,8 +31,9 @@
     m_viewRead = true;
     m_regressedRowVersion.reset();
     if (!first && view.number <= m_view.number) {
-        // A late answer, or a row that was lost. A write on this version tells: it can only
-        // succeed when the row is really so, and it sets the number above all that were known.
+        // Either a delayed response or a row that was lost. A write conditional on this version
+        // distinguishes them: it succeeds only if the row really has this version, and it then sets
+        // a number above all known ones.
         if (view.version != m_view.version)
             m_regressedRowVersion = view.version;
         return false;
@@ -102,10 +103,10 @@
 void membership::updatePreparedView()
 {
     const member *me = ownEntry();
-    const std::vector<program_id> wanted = programsToRetain();
+    const std::vector<program_id> required = programsToRetain();
     if (me
-        && std::includes(me->retainedPrograms.begin(), me->retainedPrograms.end(), wanted.begin(),
-                         wanted.end()))
+        && std::includes(me->retainedPrograms.begin(), me->retainedPrograms.end(), required.begin(),
+                         required.end()))
         m_lease.preparedView = m_view.number;
 }
 
@@ -154,8 +155,8 @@
 {
     if (m_superseded || m_stage == stage::Leaving || now < m_holder.nextRenewalAt())
         return std::nullopt;
-    // Joins wait for each member that renews. One that can't read the view would hold them for
-    // ever, so it lets its lease lapse.
+    // A join waits for every member that renews its lease. A daemon that cannot read the view would
+    // block joins forever, so it lets its lease expire.
     if (m_viewRead && now > m_viewReadAt + maxTtlsWithoutView * m_settings.ttl)
         return std::nullopt;
     ++m_lease.counter;
@@ -165,8 +166,8 @@
 std::vector<membership_action> membership::poll(time_point now)
 {
     std::vector<membership_action> actions;
-    const bool mayAct = m_holder.holds(now) || m_stage == stage::Leaving;
-    if (!m_viewRead || m_superseded || !mayAct)
+    const bool mayWrite = m_holder.holds(now) || m_stage == stage::Leaving;
+    if (!m_viewRead || m_superseded || !mayWrite)
         return actions;
     updatePreparedView();
     if (auto change = nextChange(now))
@@ -178,9 +179,9 @@
 
 bool membership::hasExpired(const member &m) const
 {
-    // A member may have lapsed, gone and come back in views that were not seen here. It renewed
-    // before it came back, so a read sent after this view was known shows that; an older one
-    // would remove a daemon that lives.
+    // A member may have expired, been removed and rejoined in views that this daemon did not read.
+    // It renewed its lease before it rejoined, so a read sent after this view was adopted shows the
+    // renewal. Acting on an older read would remove a live daemon.
     if (m_observer.lastRead() < m_viewChangedAt)
         return false;
     const daemon_run run{m.daemon, m.incarnation};
@@ -202,7 +203,8 @@
 bool membership::isJoining() const
 {
     const member *listed = m_view.find(m_self.daemon);
-    // A restarted daemon takes over what its former run owned: nobody has to hand over.
+    // A restarted daemon takes over the programs of its previous run, so no other member has to
+    // hand over any.
     if (listed && listed->incarnation != m_self.incarnation)
         return listed->joining;
     if (!listed)
@@ -221,10 +223,10 @@
     next.draining = m_stage == stage::Draining;
     next.joining = isJoining();
     next.retainedPrograms = programsToRetain();
-    const bool onlyGivesUp = me && !next.retainedPrograms.empty()
+    const bool onlyReleasesPrograms = me && !next.retainedPrograms.empty()
         && std::includes(me->retainedPrograms.begin(), me->retainedPrograms.end(),
                          next.retainedPrograms.begin(), next.retainedPrograms.end());
-    if (onlyGivesUp && now < m_retainedChangedAt + minHandOverInterval)
+    if (onlyReleasesPrograms && now < m_retainedChangedAt + minHandOverInterval)
         next.retainedPrograms = me->retainedPrograms;
     return next;
 }
@@ -259,7 +261,8 @@
 std::optional<delete_lease> membership::nextLeaseDeletion() const
 {
     const auto owner = std::find_if(m_view.members.begin(), m_view.members.end(), acceptsPrograms);
-    // One member does it, so that a cell of many daemons does not write the same thing many times.
+    // Only one member deletes lease rows, so that the daemons of a large cell do not all request
+    // the same deletion.
     if (owner == m_view.members.end() || owner->daemon != m_self.daemon)
         return std::nullopt;
     for (const lease_record &lease : m_observer.abandonedLeases()) {
--- a/src/ownership/membership.h
+++ b/src/ownership/membership.h
@@ -10,31 +10,33 @@
 
 namespace azurehill {
 
-/// \brief Asks for one write of the lease row.
+/// \brief Requests a write of this daemon's lease row.
 struct renew_lease
 {
     lease_record lease;
 };
 
-/// \brief A condition on another daemon's lease row: it is as it was read.
+/// \brief Precondition on another daemon's lease row: it still has the version that was read.
 struct lease_check
 {
     daemon_id daemon;
     row_version version = 0;
 };
 
-/// \brief Asks for a conditional write of the view: it must still have version \c expected.
+/// \brief Requests a conditional write of the view, whose row must still have version \c expected.
 struct change_view
 {
     row_version expected = 0;
     cell_view next;
-    /// Leases of the members that go. A daemon that woke and renewed in the meantime stays.
+    /// Leases of the members to remove. The write fails if one of them was renewed in the meantime,
+    /// for example by a daemon that was paused and has resumed.
     std::vector<lease_check> checks;
-    /// Lease rows that go with their members.
+    /// Lease rows to delete together with their members.
     std::vector<daemon_id> leasesToDelete;
 };
 
-/// \brief Asks to delete the lease row of a daemon that is no member, if it is as it was read.
+/// \brief Requests the deletion of the lease row of a daemon that is not a member, if the row still
+/// has the version that was read.
 struct delete_lease
 {
     lease_check lease;
@@ -42,54 +44,60 @@
 
 using membership_action = std::variant<change_view, delete_lease>;
 
-/// \brief Decides, for one daemon, when to renew its lease and when to change the cell's view.
+/// \brief Membership state machine of one daemon: decides when to renew its lease and when to
+/// change the cell's view.
 ///
-/// Reads of the view and of the leases come in, writes go out as actions; nothing blocks.
+/// Inputs are reads of the view and of the leases; outputs are actions that request writes. No call
+/// blocks.
 class membership
 {
 public:
     membership(member self, lease_settings settings);
 
-    /// \brief Takes in a read of the view. Older views than the known one are dropped: a late
-    /// answer must not bring an old owner back.
-    /// \param view the row, or an empty view when there was none.
+    /// \brief Processes a read of the view. A view older than the known one is ignored, because a
+    /// delayed response must not restore a previous owner.
+    /// \param view the decoded row, or an empty view if the row does not exist.
     /// \returns whether the view changed.
     bool onView(const cell_view &view, time_point now);
-    /// \brief Takes in all leases of the cell, by a read sent at \p sentAt.
+    /// \brief Processes a read of all leases of the cell that was sent at \p sentAt.
     void onLeases(const std::vector<lease_record> &leases, time_point sentAt, time_point now);
-    /// \brief Notes that the renewal sent at \p sentAt took effect.
+    /// \brief Records that the renewal sent at \p sentAt took effect.
     void onRenewed(time_point sentAt);
-    /// \brief Notes that the programs gained by view \p number are loaded.
+    /// \brief Records that the programs gained by view \p number are loaded.
     void onProgramsLoaded(fencing_number number);
-    /// \brief Tells which families have a running call, before each poll. Those that a join or a
-    /// drain would move stay here until their calls have ended.
+    /// \brief Sets the families with a running call, by their root programs. Must be called before
+    /// each poll. A family that a join or a drain would move stays at this daemon until its calls
+    /// have ended.
     void setRunningFamilies(std::set<program_id> roots);
-    /// \brief Tells which runs refuse connections, as seen by two observers. They are removed
-    /// before their lease has lapsed, if they also missed a renewal.
+    /// \brief Sets the runs that refuse connections, as confirmed by two observers. They are
+    /// removed before their lease has expired if they also missed a renewal.
     void setRunsRefusingConnections(std::set<daemon_run> runs);
-    /// \brief Leaves the look-ups with the next change of the view; what does not run moves.
+    /// \brief Starts a drain: with the next change of the view, this daemon is excluded from
+    /// look-ups and programs without a running call move to other members.
     void drain();
-    /// \brief Leaves the members with the next change of the view.
+    /// \brief Removes this daemon from the members with the next change of the view.
     void leave();
 
-    /// \returns the renewal that is due at \p now.
+    /// \returns the lease renewal, if one is due at \p now.
     std::optional<renew_lease> pollLease(time_point now);
-    /// \returns what to do at \p now.
+    /// \returns the writes to make at \p now.
     std::vector<membership_action> poll(time_point now);
 
     const cell_view &view() const { return m_view; }
     const member &self() const { return m_self; }
-    /// \returns whether this daemon may act as an owner at \p now.
+    /// \returns whether this daemon is a member with a valid lease at \p now, so that it may act as
+    /// an owner.
     bool isActive(time_point now) const;
-    /// \returns whether \p program is this daemon's and no change under way moves it. Only then may
-    /// a call begin, unless its family has a running call.
+    /// \returns whether this daemon owns \p program and no pending change of the view moves it.
+    /// Unless the family already has a running call, a call may start only if this is true.
     bool ownsWithoutPendingMove(const program_id &program) const;
-    /// \returns whether a drain has nothing left to hand over.
+    /// \returns whether a drain has no programs left to hand over.
     bool isDrained() const;
-    /// \returns whether another run under the same name took this daemon's place. It must stop:
-    /// two that take the place from each other would move all programs to and fro.
+    /// \returns whether another run with the same name has replaced this daemon in the view. This
+    /// run must then stop: two runs that replace each other repeatedly would move all programs back
+    /// and forth.
     bool isSuperseded() const { return m_superseded; }
-    /// \returns whether the view in force has no trace of this daemon after leave().
+    /// \returns whether leave() was called and the current view no longer lists this daemon.
     bool hasLeft() const;
 
 private:
@@ -113,7 +121,7 @@
     lease_observer m_observer;
     cell_view m_view;
     time_point m_viewChangedAt = time_point::min();
-    /// Version of a row with an older number than the known view's.
+    /// Version of the view row, if the row was read with a number not above the known view's.
     std::optional<row_version> m_regressedRowVersion;
     bool m_viewRead = false;
     time_point m_viewReadAt = time_point::min();
@@ -124,7 +132,7 @@
     std::set<program_id> m_runningFamilies;
     std::set<daemon_run> m_runsRefusingConnections;
     time_point m_retainedChangedAt = time_point::min();
-    /// Number of the view that announced this daemon as joining.
+    /// Number of the view that announced this daemon as joining; 0 if it is not joining.
     fencing_number m_joiningSinceView = 0;
 };
 
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief Who owns which program: leases, the cell's view, placement. No input or output in here.
+/// \brief Ownership of programs: leases, the cell's view, failure detection and placement. This
+/// folder does no input or output.
 
 #include "ownership/cell_view.h"
 #include "ownership/failure_detector.h"
--- a/src/ownership/ownership_history.h
+++ b/src/ownership/ownership_history.h
@@ -6,11 +6,12 @@
 
 namespace azurehill {
 
-/// \brief The last views of a cell as this daemon saw them, and what they say of its programs.
+/// \brief The most recent views of a cell that this daemon adopted, used to tell whether it owned a
+/// program without interruption.
 ///
-/// A daemon can lose a program and regain it between two reads of the view. Its own memory of the
-/// program is then old, though the newest view names it the owner. So "still mine" always means:
-/// in each view since, without one missing.
+/// A daemon can lose a program and regain it between two reads of the view. Its in-memory state of
+/// the program is then outdated although the newest view names it as the owner. Continuous
+/// ownership therefore requires that every view since then is known and names this daemon.
 class ownership_history
 {
 public:
@@ -18,12 +19,13 @@
         : m_self(std::move(self)), m_incarnation(std::move(incarnation))
     { }
 
-    /// \brief Takes in a view that this daemon adopted; numbers grow.
+    /// \brief Adds a view that this daemon adopted. Numbers must increase.
     void onView(const cell_view &view);
-    /// \returns whether this daemon owned \p program in every view from \p number on.
+    /// \returns whether this daemon owned \p program in every view from \p number on. False if a
+    /// view in between is unknown.
     bool ownedSince(const program_id &program, fencing_number number) const;
-    /// \returns whether this daemon may own a program now that it did not hold ever since view
-    /// \p number. If not, nothing need be read from the journals.
+    /// \returns whether this daemon may now own a program that it did not own continuously since
+    /// view \p number. If false, no journal needs to be read.
     bool mayHaveGainedSince(fencing_number number) const;
 
 private:
--- a/src/ownership/placement.cpp
+++ b/src/ownership/placement.cpp
@@ -48,7 +48,7 @@
 const member *ownerOf(const cell_view &view, const program_id &program)
 {
     const program_id root = rootOf(program);
-    // What a member retainedPrograms has a call under way, whose end that member alone can commit.
+    // A retained program has a running call whose end only the retaining member can commit.
     for (const member &m : view.members) {
         if (std::binary_search(m.retainedPrograms.begin(), m.retainedPrograms.end(), root))
             return &m;
--- a/src/ownership/placement.h
+++ b/src/ownership/placement.h
@@ -4,20 +4,22 @@
 
 namespace azurehill {
 
-/// \returns whether \p m is among those that share out the programs.
+/// \returns whether programs may be assigned to \p m: it is neither draining nor joining.
 bool acceptsPrograms(const member &m);
 
-/// \returns the member of \p view that owns the family of \p program, or nullptr when no member
-/// can.
+/// \returns the member of \p view that owns the family of \p program, or nullptr if no member
+/// accepts programs.
 ///
-/// Highest random weight: a member that comes or goes moves only the programs it gains or loses.
-/// A program that a member retainedPrograms is that member's.
+/// Uses rendezvous hashing (highest random weight): when a member joins or leaves, only the
+/// programs it gains or loses move. A program that a member retains belongs to that member.
 const member *ownerOf(const cell_view &view, const program_id &program);
 
-/// \returns the owner of \p program once the joining members have joined and nothing is kept.
+/// \returns the owner of \p program once all joining members have joined and no programs are
+/// retained.
 const member *ownerAfterPendingChanges(const cell_view &view, const program_id &program);
 
-/// \returns the members of \p view in the order in which a caller should try them for \p program.
+/// \returns the members of \p view that accept programs, in the order in which a client should try
+/// them for \p program.
 std::vector<const member *> preferenceOrder(const cell_view &view, const program_id &program);
 
 } // namespace azurehill
--- a/test/logic/cell_model.h
+++ b/test/logic/cell_model.h
@@ -12,7 +12,8 @@
 
 namespace azurehill {
 
-/// \brief The platform's table as far as ownership uses it: rows with versions.
+/// \brief Model of the platform's table with the rows that ownership uses: the view and the leases,
+/// with versions.
 struct table_model
 {
     cell_view view;
@@ -74,7 +75,7 @@
 inline const time_point start{seconds(1000)};
 inline const duration removalBound = lease.ttl + 2 * lease.clockMargin + pollPeriod;
 
-/// What befalls one request to the table.
+/// Fault injected into one request to the table.
 enum class fault { None, Lost, AnswerLost, AppliedLate, AnswerLate, AnswerTwice };
 constexpr int faultCount = 6;
 
@@ -87,7 +88,7 @@
     std::unique_ptr<ownership_history> history;
     fencing_number lastSeenView = 0;
     fencing_number loadedView = 0;
-    /// Commits of each program that the daemon's memory knows of.
+    /// Number of commits of each program in the daemon's in-memory state.
     std::map<program_id, int> committedCounts;
     std::set<program_id> running;
 };
@@ -102,7 +103,8 @@
     return result;
 }
 
-/// \brief Daemons around a table; every message between them can be lost, late or doubled.
+/// \brief Daemons that share a table. Every request and response can be lost, delayed or
+/// duplicated.
 class cell
 {
 public:
@@ -146,7 +148,8 @@
     void resume(int i)
     {
         node &n = at(i);
-        // The first thing that a paused holder must see, before any effect.
+        // A holder that resumes after a pause longer than its lease must see that the lease has
+        // expired before any effect.
         if (n.paused && n.logic && m_now - n.pausedAt >= lease.ttl)
             RC_ASSERT(!n.logic->isActive(m_now));
         n.paused = false;
@@ -162,8 +165,8 @@
         event();
     }
 
-    /// \brief Lets \p i take one step of its loop: 0 renews, 1 reads the view, 2 reads the leases,
-    /// 3 acts.
+    /// \brief Runs one step of the loop of daemon \p i: 0 renews the lease, 1 reads the view, 2
+    /// reads the leases, 3 polls the membership for writes.
     void step(int i, int what, fault f)
     {
         node &n = at(i);
@@ -180,7 +183,8 @@
         checkNode(n);
     }
 
-    /// \brief Brings the memory of \p i up to its view, by the journals only if it must.
+    /// \brief Updates the in-memory state of daemon \p i to its view; reads the journals only if it
+    /// may have gained a program.
     void load(int i)
     {
         node &n = at(i);
@@ -197,7 +201,7 @@
         n.loadedView = n.lastSeenView;
     }
 
-    /// \brief Lets \p i begin (or go on with) a call of \p id, as far as it may.
+    /// \brief Lets daemon \p i start or continue a call of \p id if it is allowed to.
     void beginCall(int i, const program_id &id)
     {
         node &n = at(i);
@@ -218,7 +222,7 @@
         }
     }
 
-    /// \brief Takes the next step of a drain that has begun.
+    /// \brief Runs the next step of a drain that has started.
     void continueDrain(int i)
     {
         node &n = at(i);
@@ -237,7 +241,7 @@
     }
 
 private:
-    /// What a batch's check of the view's version lets through.
+    /// Returns whether a batch would satisfy the check of the view's version.
     bool canCommit(const node &n, const program_id &id) const
     {
         return n.logic && !n.paused && n.logic->isActive(m_now)
@@ -247,12 +251,13 @@
 
     void commit(node &n, const program_id &id)
     {
-        // The owner's memory must hold all that former owners made durable.
+        // The owner's in-memory state must include all commits of previous owners.
         RC_ASSERT(n.committedCounts[id] == m_commits[id]);
         n.committedCounts[id] = ++m_commits[id];
     }
 
-    /// \brief Sends a request: \p apply happens at the table and returns what the answer does.
+    /// \brief Sends a request. \p apply executes it at the table and returns the handler of the
+    /// response.
     void send(int i, fault f, const std::function<std::function<void(membership &)>()> &apply)
     {
         if (f == fault::Lost)
@@ -336,14 +341,14 @@
         }
     }
 
-    /// A member that others removed must not be one that lives and renews.
+    /// A member that others removed must not be active.
     void checkRemovedMember(const node &n, const member &m)
     {
         if (n.logic && n.logic->self().incarnation == m.incarnation)
             RC_ASSERT(!n.logic->isActive(m_now));
     }
 
-    /// A call that runs on a daemon with a lease must be able to commit its end.
+    /// A daemon with a valid lease must be able to commit the end of its running calls.
     void checkCallCanCommit(const node &n, const program_id &root)
     {
         if (n.logic && n.logic->isActive(m_now))
@@ -372,7 +377,7 @@
             RC_ASSERT(m_views.count(known.number) == 1U);
             RC_ASSERT(m_views[known.number].members == known.members);
         }
-        // A batch checks the row's version: only who knows the newest view commits.
+        // A batch checks the row's version, so only a daemon with the newest view can commit.
         const bool commits = known.version == m_table.view.version;
         RC_ASSERT(commits == (known.number == m_table.view.number));
     }
@@ -386,10 +391,10 @@
     std::map<program_id, int> m_commits;
 };
 
-/// Rounds of all daemons without a fault, for longer than it takes to remove a dead one.
+/// Runs all daemons without faults for longer than the removal of a dead daemon takes.
 inline void settle(cell &c, int size)
 {
-    // A join waits for the next renewal of each other member after its own announcement.
+    // A join waits for the next renewal of every other member after it was announced.
     const time_point until = c.now() + removalBound + 2 * lease.renewalInterval + 6 * pollPeriod;
     while (c.now() < until) {
         for (int i = 0; i < size; ++i)
--- a/test/logic/failure_detector_test.cpp
+++ b/test/logic/failure_detector_test.cpp
@@ -8,8 +8,8 @@
 
 const failure_detector_settings settings;
 
-/// \brief Detectors of one cell; some daemons are dead, some paused, some pairs cut from each
-/// other.
+/// \brief Failure detectors of one cell. Daemons can be dead or paused, and the link between two
+/// daemons can be cut.
 struct ring
 {
     explicit ring(int size)
@@ -36,7 +36,7 @@
             sender.onConnectionRefused(run(to), now);
             return;
         }
-        if (paused.count(to) > 0U || cut.count({from, to}) > 0U)
+        if (paused.count(to) > 0U || cutLinks.count({from, to}) > 0U)
             return;
         receiver.onMessageReceived(run(from), now);
         receiver.onEvidence(sender.evidence(now), now);
@@ -59,7 +59,7 @@
     std::vector<failure_detector> detectors;
     std::set<int> dead;
     std::set<int> paused;
-    std::set<std::pair<int, int>> cut;
+    std::set<std::pair<int, int>> cutLinks;
     std::set<std::pair<int, int>> refusedLinks;
     time_point now = start;
 };
@@ -105,10 +105,10 @@
             const int b = *rc::gen::inRange(0, size);
             switch (*rc::gen::inRange(0, 8)) {
             case 0:
-                r.cut.insert({a, b});
+                r.cutLinks.insert({a, b});
                 break;
             case 1:
-                r.cut.clear();
+                r.cutLinks.clear();
                 break;
             case 2:
                 r.paused.insert(a);
@@ -150,8 +150,8 @@
     }
 }
 
-// A daemon is left out of look-ups, or removed, although it works: what a detector holds against it
-// is out of date. A lost network path came back, or heartbeats to it have only just begun.
+// Guards against excluding a working daemon from look-ups, or removing it, on outdated evidence: a
+// network path that failed has recovered, or heartbeats to the daemon have only just started.
 TEST_CASE("What is out of date is not held against a daemon")
 {
     cell_view view{1, 1, {}};
--- a/test/logic/membership_test.cpp
+++ b/test/logic/membership_test.cpp
@@ -53,7 +53,7 @@
         for (int i = 0; i < size; ++i) {
             const membership *m = c.at(i).logic.get();
             const member *listed = c.table().view.find(makeMember(i, 0).daemon);
-            // With nobody left alive the last members stay listed until one starts.
+            // If no daemon is alive, the last members stay listed until a daemon starts.
             if (m || c.anyAlive())
                 RC_ASSERT((listed != nullptr) == (m != nullptr));
             if (!m)
@@ -100,8 +100,9 @@
     settle(c, 3);
     SUBCASE("an observer whose reads fail removes nobody")
     {
-        // A user sees all programs of a healthy daemon move. One daemon's scans time out for
-        // longer than a lease while its small writes pass; it took silence for a stopped lease.
+        // Guards against moving all programs of a healthy daemon. The reads of one daemon time out
+        // for longer than a lease while its small writes succeed; it must not treat the missing
+        // reads as leases that were not renewed.
         for (int i = 0; i < 40; ++i, c.advance(pollPeriod)) {
             c.round(1);
             c.round(2);
@@ -112,8 +113,9 @@
     }
     SUBCASE("one that refuses connections goes early, but not while it renews")
     {
-        // The network between daemons fails for one of them while it serves and renews on. The
-        // others must not take its programs; of a dead one they should, and soon.
+        // The network between daemons fails for one of them while it keeps serving and renewing its
+        // lease. The others must not take over its programs; those of a dead daemon they must take
+        // over early.
         c.at(0).logic->setRunsRefusingConnections(
             {{makeMember(1, 0).daemon, c.at(1).logic->self().incarnation}});
         for (int i = 0; i < 40; ++i, c.advance(pollPeriod)) {
@@ -138,8 +140,9 @@
     }
     SUBCASE("one that woke and renewed stays, though its removal was on the way")
     {
-        // The removal was decided rightly and reached the table late; in between the paused daemon
-        // woke and renewed. It would serve on, and each of its commits would fail.
+        // The removal was decided correctly but reached the table late, after the paused daemon had
+        // resumed and renewed its lease. If it took effect, the daemon would keep serving while
+        // each of its commits fails.
         c.pause(1);
         for (int i = 0; i < 15; ++i, c.advance(pollPeriod)) {
             for (const int what : {0, 1, 2})
@@ -156,8 +159,9 @@
     }
     SUBCASE("one that came back is not removed on a read from before")
     {
-        // A healthy daemon is removed again as soon as it is back. The third daemon missed the
-        // views in which it went and came back, and knows its lease only as it stood still.
+        // Guards against removing a healthy daemon again as soon as it rejoins. The third daemon
+        // did not read the views in which the daemon was removed and rejoined, and its last read of
+        // the lease shows it without renewals.
         c.pause(1);
         for (int i = 0; i < 20; ++i, c.advance(pollPeriod)) {
             c.round(0);
@@ -177,8 +181,8 @@
 
 TEST_CASE("A daemon that renews but can't read the view lets its lease lapse")
 {
-    // No daemon can join any more: each join waits for a member whose reads fail for good while its
-    // renewals pass.
+    // Guards against blocking all joins: each join would wait for a member whose reads fail
+    // permanently while its renewals succeed.
     cell c(2);
     settle(c, 2);
     for (int i = 0; i < 300; ++i, c.advance(pollPeriod)) {
@@ -190,8 +194,8 @@
 
 TEST_CASE("A run whose name was taken over stops")
 {
-    // Two processes are started under one name. Each would put itself in the other's place at
-    // every poll, and all programs would move to and fro.
+    // Two processes are started with the same name. Each would replace the other in the view at
+    // every poll, and all programs would move back and forth.
     table_model table;
     membership first(makeMember(0, 1), lease);
     membership second(makeMember(0, 2), lease);
--- a/test/logic/takeover_test.cpp
+++ b/test/logic/takeover_test.cpp
@@ -11,7 +11,7 @@
 void ownerStep(cell &c, int i)
 {
     const auto programs = testPrograms();
-    // One bit a program: few random values, many calls.
+    // One bit per program, so that few random values give many calls.
     unsigned begins = *rc::gen::inRange(0U, 1U << programs.size());
     c.load(i);
     for (const program_id &id : programs) {
@@ -30,7 +30,7 @@
            sound ? fault::None : fault(*rc::gen::inRange(0, faultCount)));
 }
 
-/// Starts of daemons, drains and the steps of both: nothing that fails but messages.
+/// Starts and drains daemons and runs their steps. Only messages fail.
 void gracefulStep(cell &c, std::set<int> &draining)
 {
     const int i = *rc::gen::inRange(0, size);
@@ -67,8 +67,8 @@
 
 TEST_CASE("Joins and drains end no running call")
 {
-    // A user's reply is lost on a day of restarts: a daemon joined or drained while the call ran,
-    // its program moved at once, and the old owner's commit of the end was fenced.
+    // Guards against losing a response during restarts: a daemon joins or drains while a call runs,
+    // the program moves immediately, and the previous owner's commit of the call's end is fenced.
     CHECK(rc::check("random joins, drains and calls", [] {
         cell c(size);
         std::set<int> draining;
@@ -95,7 +95,8 @@
             RC_ASSERT(draining.count(m.daemon.value[0] - 'a') == 0U);
             RC_ASSERT(m.retainedPrograms.empty());
         }
-        // A renewal that the table applied after the last member left stays until one comes.
+        // A renewal that the table applied after the last member left stays until another daemon
+        // becomes a member.
         if (!c.table().view.members.empty())
             RC_ASSERT(c.table().leases.size() == c.table().view.members.size());
     }));
@@ -103,8 +104,8 @@
 
 TEST_CASE("An owner's memory holds all that was made durable before")
 {
-    // A translator's edits vanish: a paused daemon lost a program and regained it between two reads
-    // of the view, took its old memory for the newest and wrote on from there.
+    // Guards against losing committed turns: a paused daemon loses a program and regains it between
+    // two reads of the view, and continues from its outdated in-memory state.
     CHECK(rc::check("random crashes, pauses and calls", [] {
         cell c(size);
         const int steps = *rc::gen::inRange(0, 160);
