--- a/src/journal/batch.cpp
+++ b/src/journal/batch.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// First character of the first of several rows, followed by their number and a line feed; a batch
-/// in one row begins with a brace.
+/// First character of the first row of a split batch, followed by the number of continuation rows
+/// and a line feed. A batch in a single row begins with a brace.
 constexpr char splitMark = '#';
 
 std::string continuationKey(std::string_view firstKey, std::size_t index)
@@ -79,7 +79,7 @@
         rows.push_back({key, std::move(text)});
         return rows;
     }
-    // A row travels as a JSON string, so no piece may end within a character.
+    // A row is transferred as a JSON string, so no row may end within a UTF-8 character.
     rows.push_back({key, {}});
     for (std::size_t from = 0; from < text.size();) {
         std::size_t to = std::min(from + maxBytes, text.size());
@@ -94,19 +94,20 @@
 
 void batch_reader::addRow(const table_row &row)
 {
-    const bool isPart = !m_key.empty() && row.key.starts_with(m_key + "/");
-    if (isPart && m_rowsMissing > 0) {
+    const bool isContinuation = !m_key.empty() && row.key.starts_with(m_key + "/");
+    if (isContinuation && m_rowsMissing > 0) {
         m_text += row.value;
         if (--m_rowsMissing == 0)
             closeBatch();
         return;
     }
     if (m_rowsMissing > 0) {
-        m_fault = "rows missing after " + m_key;
+        m_error = "rows missing after " + m_key;
         return;
     }
-    // Rows are written together, so a part without its first row landed while the scan was under
-    // way: under the view that is being loaded, thus for no program that is being loaded.
+    // All rows of a batch are written together, so a continuation row without its first row was
+    // written during the scan. It was then written under the view that is being loaded and thus
+    // holds no records of a program that is being loaded.
     constexpr std::size_t slashesOfFirstKey = 4;
     if (std::count(row.key.begin(), row.key.end(), '/') > static_cast<int>(slashesOfFirstKey))
         return;
@@ -118,7 +119,7 @@
     }
     const char *end = row.value.data() + row.value.size();
     if (std::from_chars(row.value.data() + 1, end, m_rowsMissing).ec != std::errc())
-        m_fault = "unreadable mark in " + row.key;
+        m_error = "invalid row count in " + row.key;
 }
 
 void batch_reader::closeBatch()
@@ -127,16 +128,17 @@
     if (batch)
         m_batches.push_back(std::move(*batch));
     else
-        m_fault = m_key + ": " + batch.error();
+        m_error = m_key + ": " + batch.error();
 }
 
 tl::expected<std::vector<journal_batch>, std::string> batch_reader::finish()
 {
     if (m_rowsMissing > 0)
-        m_fault = "rows missing after " + m_key;
-    if (!m_fault.empty())
-        return tl::unexpected(m_fault);
-    // At one fence only one daemon can write records of a program, so this order is its history.
+        m_error = "rows missing after " + m_key;
+    if (!m_error.empty())
+        return tl::unexpected(m_error);
+    // Under one fencing number only one daemon can write records of a program, so this order is the
+    // program's history.
     const auto before = [](const journal_batch &a, const journal_batch &b) {
         return std::tie(a.fence, a.sequence) < std::tie(b.fence, b.sequence);
     };
--- a/src/journal/commit_batcher.cpp
+++ b/src/journal/commit_batcher.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// \brief Takes the entries that \p gone holds for out of \p entries and tells their fate.
+/// \brief Removes the entries that satisfy \p gone from \p entries and reports \p result for them.
 template <class Entries, class Predicate>
 void completeMatching(Entries &entries, Predicate gone, commit_result result,
                       std::vector<commit_action> &actions)
@@ -44,18 +44,19 @@
 }
 
 tl::expected<commit_ticket, append_error>
-commit_batcher::append(std::vector<journal_record> records, commit_policy need, time_point now)
+commit_batcher::append(std::vector<journal_record> records, commit_policy policy, time_point now)
 {
-    pending_append e{0, std::move(records), 0, need, now, false};
+    pending_append e{0, std::move(records), 0, policy, now, false};
     for (const journal_record &r : e.records) {
         if (!m_view.owns || !m_view.owns(programOf(r)))
             return tl::unexpected(append_error::NotOwner);
         e.bytes += boost::json::serialize(toJson(r)).size();
     }
-    // A record that no write can hold would be tried for ever and block all that come after it.
+    // A record that is too large for any write would be retried forever and block all records
+    // queued after it.
     if (e.bytes > m_settings.maxEntryBytes)
         return tl::unexpected(append_error::TooLarge);
-    if (need == commit_policy::Refusable && isBusy(now))
+    if (policy == commit_policy::Refusable && isBusy(now))
         return tl::unexpected(append_error::Busy);
     e.ticket = ++m_lastTicket;
     m_waitingBytes += e.bytes;
@@ -81,9 +82,10 @@
     std::vector<commit_action> actions;
     if (view.number <= m_view.number)
         return actions;
-    // Failure: two views follow each other between two looks of this daemon, and in the first of
-    // them another daemon owned the program and wrote to its history. Written now, our record would
-    // come after that. A view that was not seen therefore counts as one that took everything.
+    // Two views may follow each other between two reads by this daemon, and under the first of them
+    // another daemon may have owned the program and written to its history. This daemon's queued
+    // record would then be appended after those records. A skipped view is therefore treated as one
+    // that took away all programs.
     const bool skipped = m_view.number != 0 && view.number != m_view.number + 1;
     m_view = std::move(view);
     for (std::vector<pending_append> *entries : {&m_inFlight, &m_waiting}) {
@@ -146,9 +148,10 @@
         = [&](const pending_append &e) { return e.ownershipLost || isRefusable(e, now); };
     const bool anyLost = std::any_of(m_inFlight.begin(), m_inFlight.end(),
                                      [](const pending_append &e) { return e.ownershipLost; });
-    // Failure: a try whose answer was lost lands after the read that did not find it. A record
-    // taken out of the batch would then be durable although its ticket was told Lost. So nothing is
-    // taken out before a read that follows a newer view: no earlier try can pass that view's check.
+    // A write whose response was lost may take effect after the read-back that did not find it. A
+    // record removed from the batch would then be durable although its ticket was reported as Lost.
+    // Nothing is therefore removed before a read-back under a newer view, because no earlier write
+    // can satisfy that view's condition.
     if (m_earlierWriteMayApply && anyLost)
         return readBack(actions);
     if (!m_earlierWriteMayApply) {
@@ -206,8 +209,8 @@
         finishBatch();
         break;
     case batch_outcome::Unknown:
-        // Guessing either way breaks a promise: "written" may lose a turn, "not written" may run a
-        // request twice. The row's own key is read back until an answer comes.
+        // Neither outcome may be assumed: "written" could lose a turn, "not written" could run a
+        // request twice. The batch's row is read back until the read succeeds.
         m_earlierWriteMayApply = true;
         scheduleRetry(phase::WaitingToReadBack, now);
         break;
@@ -216,7 +219,7 @@
                       now);
         break;
     case batch_outcome::Fenced:
-        // No try under this view or an older one can land any more.
+        // No write under this view or an older one can take effect any more.
         m_earlierWriteMayApply = false;
         scheduleRetry(phase::WaitingToWrite, now);
         break;
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief The journal: typed records, their text form, and group commits of many programs at once.
+/// \brief The journal: typed records, their JSON encoding, and group commits of the records of many
+/// programs.
 
 #include "journal/batch.h"
 #include "journal/commit_batcher.h"
--- a/src/journal/record.cpp
+++ b/src/journal/record.cpp
@@ -51,8 +51,9 @@
             {"engine", r.engine.value}};
 }
 
-/// \returns whether \p text may stand in JSON. A tool may answer with any bytes, such as a PDF; a
-/// row with broken UTF-8 could not be read back, and its program would be lost to its next owner.
+/// \returns whether \p text is valid UTF-8 and can be stored as a JSON string. A tool may answer
+/// with arbitrary bytes, such as a PDF. A row with invalid UTF-8 could not be read back, and its
+/// program would be lost to its next owner.
 bool isUtf8(const std::string &text)
 {
     json::error_code code;
@@ -78,7 +79,7 @@
                                   static_cast<int>(encoded.size()));
     if (n < 0)
         throw std::runtime_error("reply is not base64");
-    // The decoder counts the bytes that padding stands for.
+    // EVP_DecodeBlock counts padding characters as decoded bytes.
     const auto padding = static_cast<std::size_t>(std::count(
         encoded.end() - std::min<std::ptrdiff_t>(2, std::ssize(encoded)), encoded.end(), '='));
     bytes.resize(static_cast<std::size_t>(n) - padding);
--- a/src/journal/record.h
+++ b/src/journal/record.h
@@ -13,7 +13,7 @@
 
 namespace azurehill {
 
-/// \brief What a call of a program goes to.
+/// \brief The kind of target of a program's call.
 enum class call_kind { Model, Tool, Service };
 
 template <>
@@ -41,13 +41,14 @@
     std::int64_t budgetTokens = 0;
     std::int64_t deadlineUnixMs = 0;
     std::int64_t createdUnixMs = 0;
-    /// Limits of the class when the program began; 0 is none. A change of the class later changes
-    /// neither, so replaying gives the same state under any configuration.
+    /// Limits of the program's class at the time of creation; 0 means no limit. Later changes of
+    /// the class do not affect them, so replay gives the same state under any configuration.
     std::int64_t maxTurns = 0;
     std::int64_t idleMs = 0;
 };
 
-/// \brief A call is about to go out: its reservation, and for a non-idempotent one the intent.
+/// \brief A call is about to be sent. Records its token reservation and, for a non-idempotent call,
+/// the intent to send it.
 struct call_begun
 {
     program_id program;
@@ -57,11 +58,12 @@
     call_kind kind = call_kind::Model;
     bool idempotent = true;
     std::int64_t reservedTokens = 0;
-    /// Engine that the call goes to, which may hold the program's cache from then on; else empty.
+    /// Engine that the call is sent to, which may hold the program's cache from then on. Empty if
+    /// the call is not sent to an engine.
     upstream_id engine = {};
 };
 
-/// \brief A call has its answer.
+/// \brief A call has been answered.
 struct call_finished
 {
     program_id program;
@@ -69,19 +71,20 @@
     std::string key;
     std::int64_t spentTokens = 0;
     int status = 200;
-    /// Messages that this turn adds to the history, a JSON array as text; empty for tools.
+    /// Messages that this turn adds to the history, as the text of a JSON array; empty for tools.
     std::string messages;
-    /// The answer's body, kept for a repeated request.
+    /// Body of the response, stored to answer a repeated request.
     std::string reply;
     std::string contentType = "application/json";
-    /// Engine that gave the answer, when that was not the one of the begin record.
+    /// Engine that answered, if it is not the one in the call_begun record.
     upstream_id engine = {};
 };
 
-/// \brief A call ended without an answer. Ran and Unknown are charged in full.
+/// \brief A call ended without an answer. Calls with the outcome Ran or Unknown are charged in
+/// full.
 ///
-/// After these a model call or another idempotent one may be asked again under its turn; any other
-/// call is closed for good.
+/// Afterwards a model call or another idempotent call may be repeated under the same turn; any
+/// other call is closed permanently.
 struct call_failed
 {
     program_id program;
@@ -97,7 +100,7 @@
     end_reason reason = end_reason::Finished;
 };
 
-/// \brief An engine has confirmed that it holds nothing of an ended program.
+/// \brief An engine has confirmed that it holds no state of an ended program.
 struct program_released
 {
     program_id program;
@@ -107,11 +110,11 @@
 using journal_record = std::variant<program_created, call_begun, call_finished, call_failed,
                                     program_ended, program_released>;
 
-/// \returns the program that \p record is about.
+/// \returns the program that \p record belongs to.
 const program_id &programOf(const journal_record &record);
 
 boost::json::value toJson(const journal_record &record);
-/// \returns the record in \p value, or what is wrong with it.
+/// \returns the record decoded from \p value, or a description of the decoding error.
 tl::expected<journal_record, std::string> recordFromJson(const boost::json::value &value);
 
 } // namespace azurehill
--- a/test/logic/commit_batcher_test.cpp
+++ b/test/logic/commit_batcher_test.cpp
@@ -25,7 +25,7 @@
         journal_batch batch;
         std::size_t position = 0;
     };
-    /// Owner of each program by view number; the row's version is the number plus 100.
+    /// Owner of each program, by view number. The version of the view's row is the number plus 100.
     std::vector<std::vector<int>> owners = {{}, {0, 0, 1}};
     std::map<std::string, stored_batch> rows;
     std::vector<write> lateWrites;
@@ -46,7 +46,7 @@
     }
 };
 
-/// One daemon with its batcher, and what is under way between it and the table.
+/// One daemon with its batcher, and the requests and responses in flight between it and the table.
 struct daemon_model
 {
     daemon_model(table_model &t, int i)
@@ -68,7 +68,7 @@
         v.number = knownView;
         v.version = knownView + 100;
         v.owns = [this](const program_id &id) { return owns(id, knownView); };
-        take(batcher.onView(std::move(v)));
+        handleActions(batcher.onView(std::move(v)));
     }
     bool owns(const program_id &id, fencing_number view) const
     {
@@ -85,7 +85,7 @@
         if (ticket)
             pendingTickets[*ticket] = {id, key, knownView};
     }
-    void take(std::vector<commit_action> actions)
+    void handleActions(std::vector<commit_action> actions)
     {
         for (commit_action &a : actions) {
             if (auto *done = std::get_if<commit_done>(&a)) {
@@ -100,7 +100,7 @@
             }
         }
     }
-    /// Carries out what the batcher asked for, with an outcome picked by \p luck.
+    /// Executes the action that the batcher requested, with an outcome selected by \p randomBits.
     void executeAction(unsigned randomBits, time_point now)
     {
         if (!pendingAction)
@@ -113,7 +113,7 @@
         batch_outcome answer = there ? batch_outcome::Written : batch_outcome::Absent;
         if (randomBits % 5 == 1)
             answer = batch_outcome::Unavailable;
-        else if (write && randomBits % 5 == 2) // the answer is lost, with or without effect
+        else if (write && randomBits % 5 == 2) // the response is lost, with or without effect
             (table.apply({*write, key}), answer = batch_outcome::Unknown);
         else if (write && randomBits % 5 == 3) // the write takes effect later, or never
             (table.lateWrites.push_back({*write, key}), answer = batch_outcome::Unknown);
@@ -129,7 +129,7 @@
             return;
         const batch_outcome a = answers.front();
         answers.erase(answers.begin());
-        take(batcher.onAnswer(a, now));
+        handleActions(batcher.onAnswer(a, now));
     }
 
     struct appended
@@ -174,7 +174,7 @@
             const auto w = written.find(what.key);
             RC_ASSERT((w == written.end() ? 0 : w->second.second)
                       == (result == commit_result::Durable ? 1 : 0));
-            // Nobody else owned the program between the append and the write.
+            // No other daemon owned the program between the append and the write.
             for (auto v = what.view; w != written.end() && v <= w->second.first; ++v)
                 RC_ASSERT(d->owns(what.program, v));
         }
@@ -203,7 +203,7 @@
         case 5:
         case 6:
             now += milliseconds(200);
-            d.take(d.batcher.poll(now));
+            d.handleActions(d.batcher.poll(now));
             break;
         case 7:
         case 8:
@@ -214,7 +214,7 @@
             d.deliverAnswer(now);
             break;
         case 11:
-        case 12: // a late write and a view meet, in one order or the other
+        case 12: // a late write and a new view occur, in either order
             if (!table.lateWrites.empty() && randomBits % 4 != 0)
                 table.applyLateWrite(randomBits);
             if (randomBits % 8 > 2)
@@ -230,12 +230,12 @@
         }
         checkInvariants(table, daemons);
     }
-    // The network heals; what is late may still land before each step.
+    // The network recovers. Late writes may still take effect before each step.
     for (int i = 0; i < 60; ++i) {
         for (daemon_model *d : daemons) {
             d->readView();
             now += seconds(3);
-            d->take(d->batcher.poll(now));
+            d->handleActions(d->batcher.poll(now));
             d->executeAction(5, now);
             d->deliverAnswer(now);
         }
@@ -251,8 +251,8 @@
 
 TEST_CASE("What a commit tells its tickets is what the table holds")
 {
-    // Long histories: the case that matters is a late write that lands between the read that did
-    // not find it and the view that takes its program away.
+    // Long histories are needed for the critical case: a late write takes effect between the
+    // read-back that did not find it and the view that assigns its program to another daemon.
     CHECK(rc::check("over lost answers, late writes, outages and views that move programs", [] {
         runHistory(
             *rc::gen::container<std::vector<unsigned>>(300, rc::gen::inRange(0U, 1U << 24U)));
@@ -261,23 +261,23 @@
 
 TEST_CASE("A batch mixes programs that stay with programs that move")
 {
-    // A write's answer is lost; while it is read back, a view gives one of two programs to another
-    // daemon. Dropping the whole batch would tell the other program's caller "not durable" for
-    // nothing.
+    // The response to a write is lost, and while the batch is read back, a view assigns one of its
+    // two programs to another daemon. Dropping the whole batch would report the other program's
+    // records as not durable without need.
     table_model table;
     daemon_model d(table, 0);
     time_point now{};
     d.append(programs[0], commit_policy::MustCommit, now);
     d.append(programs[1], commit_policy::MustCommit, now);
-    d.take(d.batcher.poll(now));
+    d.handleActions(d.batcher.poll(now));
     d.pendingAction.reset();
-    d.take(d.batcher.onAnswer(batch_outcome::Unknown, now));
+    d.handleActions(d.batcher.onAnswer(batch_outcome::Unknown, now));
     table.owners.push_back({1, 0, 1});
     d.readView();
     CHECK(d.completed.empty());
     for (int i = 0; i < 4; ++i) {
         now += seconds(1);
-        d.take(d.batcher.poll(now));
+        d.handleActions(d.batcher.poll(now));
         d.executeAction(0, now);
     }
     REQUIRE(d.completed.size() == 2);
@@ -299,9 +299,9 @@
         d.append(programs[0], commit_policy::Refusable, now);
         for (int i = 0; i < 3600; ++i) {
             now += seconds(1);
-            d.take(d.batcher.poll(now));
+            d.handleActions(d.batcher.poll(now));
             if (std::exchange(d.pendingAction, std::nullopt))
-                d.take(d.batcher.onAnswer(batch_outcome::Unavailable, now));
+                d.handleActions(d.batcher.onAnswer(batch_outcome::Unavailable, now));
         }
         REQUIRE(d.completed.size() == 1);
         CHECK(d.completed[0].second == commit_result::Refused);
@@ -309,17 +309,17 @@
               == append_error::Busy);
         CHECK(d.batcher.append({record}, commit_policy::MustCommit, now).has_value());
         now += seconds(2);
-        d.take(d.batcher.poll(now));
+        d.handleActions(d.batcher.poll(now));
         d.executeAction(0, now);
         CHECK(d.completed.back().second == commit_result::Durable);
     }
     SUBCASE("a record that waits behind a stuck write is refused when its time is over")
     {
         d.append(programs[0], commit_policy::MustCommit, now);
-        d.take(d.batcher.poll(now));
+        d.handleActions(d.batcher.poll(now));
         d.append(programs[0], commit_policy::Refusable, now);
         now = *d.batcher.wakeAt();
-        d.take(d.batcher.poll(now));
+        d.handleActions(d.batcher.poll(now));
         REQUIRE(d.completed.size() == 1);
         CHECK(d.completed[0].second == commit_result::Refused);
     }
@@ -330,7 +330,7 @@
     call_finished large;
     large.program = programs[0];
     for (int i = 0; i < 200'000; ++i)
-        large.reply += "\xE2\x82\xAC"; // three bytes: no row may end within a character
+        large.reply += "\xE2\x82\xAC"; // three bytes in UTF-8: no row may end within a character
 
     SUBCASE("go over several rows and come back whole")
     {
--- a/test/logic/record_reply_test.cpp
+++ b/test/logic/record_reply_test.cpp
@@ -6,8 +6,8 @@
 
 using namespace azurehill;
 
-// A tool answers with a PDF. Its bytes are not UTF-8; written into a row of JSON as they are, the
-// row could not be read back, and the program would be lost when its daemon dies.
+// A tool answers with a PDF, whose bytes are not valid UTF-8. Stored unencoded in a JSON row, they
+// would make the row unreadable, and the program would be lost when its daemon dies.
 TEST_CASE("A reply of any bytes survives the journal")
 {
     CHECK(rc::check([](const std::string &body) {
