--- a/test/logic/commit_batcher_test.cpp
+++ b/test/logic/commit_batcher_test.cpp
@@ -109,15 +109,15 @@
         const auto *write = std::get_if<write_batch>(&action);
         const std::string key
             = rowKey("c", write ? write->batch : std::get<read_back>(action).batch);
-        const bool there = table.rows.count(key) > 0;
-        batch_outcome answer = there ? batch_outcome::Written : batch_outcome::Absent;
+        const bool rowExists = table.rows.count(key) > 0;
+        batch_outcome answer = rowExists ? batch_outcome::Written : batch_outcome::Absent;
         if (randomBits % 5 == 1)
             answer = batch_outcome::Unavailable;
         else if (write && randomBits % 5 == 2) // the response is lost, with or without effect
             (table.apply({*write, key}), answer = batch_outcome::Unknown);
         else if (write && randomBits % 5 == 3) // the write takes effect later, or never
             (table.lateWrites.push_back({*write, key}), answer = batch_outcome::Unknown);
-        else if (write && !there)
+        else if (write && !rowExists)
             answer = table.apply({*write, key}) ? batch_outcome::Written : batch_outcome::Fenced;
         answers.push_back(answer);
         if (randomBits % 2 == 0)
--- a/test/logic/membership_test.cpp
+++ b/test/logic/membership_test.cpp
@@ -31,8 +31,8 @@
         return c.round(i);
     default:
         c.advance(milliseconds(*rc::gen::inRange(0, 120)));
-        const bool sound = *rc::gen::inRange(0, 3) > 0;
-        const auto f = sound ? fault::None : fault(*rc::gen::inRange(0, faultCount));
+        const bool noFault = *rc::gen::inRange(0, 3) > 0;
+        const auto f = noFault ? fault::None : fault(*rc::gen::inRange(0, faultCount));
         return c.step(i, *rc::gen::inRange(0, 4), f);
     }
 }
--- a/test/logic/takeover_test.cpp
+++ b/test/logic/takeover_test.cpp
@@ -25,9 +25,9 @@
 
 void messageStep(cell &c, int i)
 {
-    const bool sound = *rc::gen::inRange(0, 4) > 0;
+    const bool noFault = *rc::gen::inRange(0, 4) > 0;
     c.step(i, *rc::gen::inRange(0, 4),
-           sound ? fault::None : fault(*rc::gen::inRange(0, faultCount)));
+           noFault ? fault::None : fault(*rc::gen::inRange(0, faultCount)));
 }
 
 /// Starts and drains daemons and runs their steps. Only messages fail.
