--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -32,7 +32,7 @@
     : m_executor(std::move(executor)), m_store(rows), m_view(view), m_bound(bound)
 { }
 
-void credit_lender::setRoutes(route_book_ptr routes)
+void credit_lender::setRoutes(routing_config_ptr routes)
 {
     m_routes = std::move(routes);
     m_hasQuotas.fill(false);
