--- a/src/daemon/control_membership.cpp
+++ b/src/daemon/control_membership.cpp
@@ -41,7 +41,7 @@
         co_await refreshLeases();
         stopIfSuperseded();
         m_membership.setRunsRefusingConnections(m_heartbeats.refusing());
-        m_membership.setRunning(runningFamilies());
+        m_membership.setRunningFamilies(runningFamilies());
         for (membership_action &action : m_membership.poll(runtime_clock::now()))
             co_await perform(std::move(action));
         const bool unread = m_loadedView != m_membership.view().number || !m_dropped.empty();
@@ -152,7 +152,7 @@
         if (!rows)
             co_return std::nullopt;
         for (const table_row &row : *rows)
-            reader.feed(row);
+            reader.addRow(row);
         if (rows->size() < scanPage)
             break;
         after = rows->back().key;
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -85,7 +85,7 @@
     s.logLevel = in.enumerator<log_level>("log-level");
     s.lease.ttl = in.time("lease-ttl-ms", 500, longestTimeMs);
     s.lease.renewalInterval = s.lease.ttl / 3;
-    s.lease.margin = s.lease.ttl / 10;
+    s.lease.clockMargin = s.lease.ttl / 10;
     readCommit(in, s.commit);
     readLimits(in, s.limits);
 
--- a/src/inner/heartbeat.cpp
+++ b/src/inner/heartbeat.cpp
@@ -16,7 +16,7 @@
         one["daemon"] = e.run.daemon.value;
         one["incarnation"] = e.run.incarnation;
         one["observer"] = e.observer.value;
-        one["sign"] = std::string(toName(e.sign));
+        one["sign"] = std::string(toName(e.kind));
         one["age_ms"] = Json::Int64(toMilliseconds(e.age));
         evidence.append(std::move(one));
     }
--- a/src/inner/heartbeats.cpp
+++ b/src/inner/heartbeats.cpp
@@ -74,7 +74,7 @@
         co_return true;
     const auto refused = asio::error::make_error_code(asio::error::connection_refused);
     if (connected.error().detail == refused.message())
-        m_detector.onRefused({to.daemon, to.incarnation}, runtime_clock::now());
+        m_detector.onConnectionRefused({to.daemon, to.incarnation}, runtime_clock::now());
     co_return false;
 }
 
@@ -113,7 +113,7 @@
 void heartbeats::take(const heartbeat &beat)
 {
     const time_point now = runtime_clock::now();
-    m_detector.onSign(beat.from, now);
+    m_detector.onMessageReceived(beat.from, now);
     m_detector.onEvidence(beat.evidence, now);
 }
 
--- a/src/journal/commit_batcher.cpp
+++ b/src/journal/commit_batcher.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// \brief Takes the entries that \p gone holds for out of \p entries and tells their fate.
+/// \brief Removes the entries that satisfy \p gone from \p entries and reports \p result for them.
 template <class Entries, class Predicate>
 void completeMatching(Entries &entries, Predicate gone, commit_result result,
                       std::vector<commit_action> &actions)
@@ -44,18 +44,19 @@
 }
 
 tl::expected<commit_ticket, append_error>
-commit_batcher::append(std::vector<journal_record> records, commit_policy need, time_point now)
+commit_batcher::append(std::vector<journal_record> records, commit_policy policy, time_point now)
 {
-    entry e{0, std::move(records), 0, need, now, false};
+    pending_append e{0, std::move(records), 0, policy, now, false};
     for (const journal_record &r : e.records) {
         if (!m_view.owns || !m_view.owns(programOf(r)))
             return tl::unexpected(append_error::NotOwner);
         e.bytes += boost::json::serialize(toJson(r)).size();
     }
-    // A record that no write can hold would be tried for ever and block all that come after it.
+    // A record that is too large for any write would be retried forever and block all records
+    // queued after it.
     if (e.bytes > m_settings.maxEntryBytes)
         return tl::unexpected(append_error::TooLarge);
-    if (need == commit_policy::Refusable && isBusy(now))
+    if (policy == commit_policy::Refusable && isBusy(now))
         return tl::unexpected(append_error::Busy);
     e.ticket = ++m_lastTicket;
     m_waitingBytes += e.bytes;
@@ -65,15 +66,15 @@
 
 bool commit_batcher::isBusy(time_point now) const
 {
-    const auto late = [&](const std::vector<entry> &entries) {
-        return !entries.empty() && now - entries.front().since > m_settings.maxWaitTime;
+    const auto late = [&](const std::vector<pending_append> &entries) {
+        return !entries.empty() && now - entries.front().appendedAt > m_settings.maxWaitTime;
     };
     return m_waitingBytes > m_settings.maxWaitingBytes || late(m_inFlight) || late(m_waiting);
 }
 
-bool commit_batcher::isRefusable(const entry &e, time_point now) const
+bool commit_batcher::isRefusable(const pending_append &e, time_point now) const
 {
-    return e.need == commit_policy::Refusable && now - e.since > m_settings.maxWaitTime;
+    return e.policy == commit_policy::Refusable && now - e.appendedAt > m_settings.maxWaitTime;
 }
 
 std::vector<commit_action> commit_batcher::onView(commit_view view)
@@ -81,19 +82,21 @@
     std::vector<commit_action> actions;
     if (view.number <= m_view.number)
         return actions;
-    // Failure: two views follow each other between two looks of this daemon, and in the first of
-    // them another daemon owned the program and wrote to its history. Written now, our record would
-    // come after that. A view that was not seen therefore counts as one that took everything.
+    // Two views may follow each other between two reads by this daemon, and under the first of them
+    // another daemon may have owned the program and written to its history. This daemon's queued
+    // record would then be appended after those records. A skipped view is therefore treated as one
+    // that took away all programs.
     const bool skipped = m_view.number != 0 && view.number != m_view.number + 1;
     m_view = std::move(view);
-    for (std::vector<entry> *entries : {&m_inFlight, &m_waiting}) {
-        for (entry &e : *entries) {
+    for (std::vector<pending_append> *entries : {&m_inFlight, &m_waiting}) {
+        for (pending_append &e : *entries) {
             for (const journal_record &r : e.records)
-                e.lost = e.lost || skipped || !m_view.owns(programOf(r));
+                e.ownershipLost = e.ownershipLost || skipped || !m_view.owns(programOf(r));
         }
     }
     completeMatching(
-        m_waiting, [](const entry &e) { return e.lost; }, commit_result::Lost, actions);
+        m_waiting, [](const pending_append &e) { return e.ownershipLost; }, commit_result::Lost,
+        actions);
     m_waitingBytes = bytesOf(m_waiting);
     return actions;
 }
@@ -106,7 +109,7 @@
     std::size_t records = 0;
     std::size_t bytes = 0;
     while (taken < m_waiting.size()) {
-        const entry &e = m_waiting[taken];
+        const pending_append &e = m_waiting[taken];
         const bool fits = records + e.records.size() <= m_settings.maxRecords
             && bytes + e.bytes <= m_settings.maxBatchBytes;
         if (taken > 0 && !fits)
@@ -121,11 +124,11 @@
     m_waitingBytes -= bytes;
 }
 
-void commit_batcher::write(std::vector<commit_action> &actions)
+void commit_batcher::writeBatch(std::vector<commit_action> &actions)
 {
     m_batch.fence = m_view.number;
     m_batch.records.clear();
-    for (const entry &e : m_inFlight)
+    for (const pending_append &e : m_inFlight)
         m_batch.records.insert(m_batch.records.end(), e.records.begin(), e.records.end());
     m_lastWriteFence = m_view.number;
     m_phase = phase::Writing;
@@ -141,30 +144,33 @@
 
 void commit_batcher::retryBatch(time_point now, std::vector<commit_action> &actions)
 {
-    const auto gone = [&](const entry &e) { return e.lost || isRefusable(e, now); };
-    const bool anyLost
-        = std::any_of(m_inFlight.begin(), m_inFlight.end(), [](const entry &e) { return e.lost; });
-    // Failure: a try whose answer was lost lands after the read that did not find it. A record
-    // taken out of the batch would then be durable although its ticket was told Lost. So nothing is
-    // taken out before a read that follows a newer view: no earlier try can pass that view's check.
+    const auto gone
+        = [&](const pending_append &e) { return e.ownershipLost || isRefusable(e, now); };
+    const bool anyLost = std::any_of(m_inFlight.begin(), m_inFlight.end(),
+                                     [](const pending_append &e) { return e.ownershipLost; });
+    // A write whose response was lost may take effect after the read-back that did not find it. A
+    // record removed from the batch would then be durable although its ticket was reported as Lost.
+    // Nothing is therefore removed before a read-back under a newer view, because no earlier write
+    // can satisfy that view's condition.
     if (m_earlierWriteMayApply && anyLost)
         return readBack(actions);
     if (!m_earlierWriteMayApply) {
         completeMatching(
-            m_inFlight, [](const entry &e) { return e.lost; }, commit_result::Lost, actions);
+            m_inFlight, [](const pending_append &e) { return e.ownershipLost; },
+            commit_result::Lost, actions);
         completeMatching(m_inFlight, gone, commit_result::Refused, actions);
     }
     if (m_inFlight.empty())
         return finishBatch();
-    write(actions);
+    writeBatch(actions);
 }
 
 std::vector<commit_action> commit_batcher::poll(time_point now)
 {
     std::vector<commit_action> actions;
     completeMatching(
-        m_waiting, [&](const entry &e) { return isRefusable(e, now); }, commit_result::Refused,
-        actions);
+        m_waiting, [&](const pending_append &e) { return isRefusable(e, now); },
+        commit_result::Refused, actions);
     m_waitingBytes = bytesOf(m_waiting);
     if (now < m_nextAttemptAt)
         return actions;
@@ -174,7 +180,7 @@
             break;
         startBatch();
         m_nextAttemptAt = now + m_settings.interval;
-        write(actions);
+        writeBatch(actions);
         break;
     case phase::WaitingToWrite:
         retryBatch(now, actions);
@@ -197,30 +203,30 @@
     switch (answer) {
     case batch_outcome::Written:
         actions.emplace_back(commit_done{{}, commit_result::Durable});
-        for (const entry &e : m_inFlight)
+        for (const pending_append &e : m_inFlight)
             std::get<commit_done>(actions.back()).tickets.push_back(e.ticket);
         m_inFlight.clear();
         finishBatch();
         break;
     case batch_outcome::Unknown:
-        // Guessing either way breaks a promise: "written" may lose a turn, "not written" may run a
-        // request twice. The row's own key is read back until an answer comes.
+        // Neither outcome may be assumed: "written" could lose a turn, "not written" could run a
+        // request twice. The batch's row is read back until the read succeeds.
         m_earlierWriteMayApply = true;
-        waitToRetry(phase::WaitingToReadBack, now);
+        scheduleRetry(phase::WaitingToReadBack, now);
         break;
     case batch_outcome::Unavailable:
-        waitToRetry(m_phase == phase::Writing ? phase::WaitingToWrite : phase::WaitingToReadBack,
-                    now);
+        scheduleRetry(m_phase == phase::Writing ? phase::WaitingToWrite : phase::WaitingToReadBack,
+                      now);
         break;
     case batch_outcome::Fenced:
-        // No try under this view or an older one can land any more.
+        // No write under this view or an older one can take effect any more.
         m_earlierWriteMayApply = false;
-        waitToRetry(phase::WaitingToWrite, now);
+        scheduleRetry(phase::WaitingToWrite, now);
         break;
     case batch_outcome::Absent:
         if (m_readBackFence > m_lastWriteFence)
             m_earlierWriteMayApply = false;
-        waitToRetry(phase::WaitingToWrite, now);
+        scheduleRetry(phase::WaitingToWrite, now);
         break;
     }
     return actions;
@@ -233,7 +239,7 @@
     m_batch.records.clear();
 }
 
-void commit_batcher::waitToRetry(phase next, time_point now)
+void commit_batcher::scheduleRetry(phase next, time_point now)
 {
     m_phase = next;
     m_nextAttemptAt = now + m_retryDelay;
@@ -247,10 +253,10 @@
         || (m_phase == phase::Idle && !m_waiting.empty());
     if (waits)
         at = m_nextAttemptAt;
-    for (const entry &e : m_waiting) {
-        if (e.need != commit_policy::Refusable)
+    for (const pending_append &e : m_waiting) {
+        if (e.policy != commit_policy::Refusable)
             continue;
-        const time_point refuseAt = e.since + m_settings.maxWaitTime + duration(1);
+        const time_point refuseAt = e.appendedAt + m_settings.maxWaitTime + duration(1);
         at = at ? std::min(*at, refuseAt) : refuseAt;
         break;
     }
--- a/src/journal/record.cpp
+++ b/src/journal/record.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-std::string text(const json::object &o, std::string_view key)
+std::string stringField(const json::object &o, std::string_view key)
 {
     return std::string(o.at(key).as_string());
 }
 
-std::int64_t number(const json::object &o, std::string_view key)
+std::int64_t integerField(const json::object &o, std::string_view key)
 {
     return o.at(key).to_number<std::int64_t>();
 }
 
 template <class Enum>
-Enum enumerator(const json::object &o, std::string_view key)
+Enum parseEnumerator(const json::object &o, std::string_view key)
 {
-    const auto found = fromName<Enum>(text(o, key));
+    const auto found = fromName<Enum>(stringField(o, key));
     if (!found)
         throw std::runtime_error("unknown value of " + std::string(key));
     return *found;
@@ -51,8 +51,9 @@
             {"engine", r.engine.value}};
 }
 
-/// \returns whether \p text may stand in JSON. A tool may answer with any bytes, such as a PDF; a
-/// row with broken UTF-8 could not be read back, and its program would be lost to its next owner.
+/// \returns whether \p text is valid UTF-8 and can be stored as a JSON string. A tool may answer
+/// with arbitrary bytes, such as a PDF. A row with invalid UTF-8 could not be read back, and its
+/// program would be lost to its next owner.
 bool isUtf8(const std::string &text)
 {
     json::error_code code;
@@ -78,7 +79,7 @@
                                   static_cast<int>(encoded.size()));
     if (n < 0)
         throw std::runtime_error("reply is not base64");
-    // The decoder counts the bytes that padding stands for.
+    // EVP_DecodeBlock counts padding characters as decoded bytes.
     const auto padding = static_cast<std::size_t>(std::count(
         encoded.end() - std::min<std::ptrdiff_t>(2, std::ssize(encoded)), encoded.end(), '='));
     bytes.resize(static_cast<std::size_t>(n) - padding);
@@ -87,7 +88,8 @@
 
 std::string decodeReply(const json::object &o)
 {
-    return o.contains("reply_base64") ? fromBase64(text(o, "reply_base64")) : text(o, "reply");
+    return o.contains("reply_base64") ? fromBase64(stringField(o, "reply_base64"))
+                                      : stringField(o, "reply");
 }
 
 json::object encodeRecord(const call_finished &r)
@@ -123,47 +125,47 @@
 
 journal_record decodeRecord(const json::object &o)
 {
-    const std::string type = text(o, "type");
-    const program_id program{text(o, "program")};
+    const std::string type = stringField(o, "type");
+    const program_id program{stringField(o, "program")};
     if (type == "program_created") {
         return program_created{program,
-                               {text(o, "parent")},
-                               {text(o, "tenant")},
-                               text(o, "class"),
-                               number(o, "budget"),
-                               number(o, "deadline_ms"),
-                               number(o, "created_ms"),
-                               number(o, "max_turns"),
-                               number(o, "idle_ms")};
+                               {stringField(o, "parent")},
+                               {stringField(o, "tenant")},
+                               stringField(o, "class"),
+                               integerField(o, "budget"),
+                               integerField(o, "deadline_ms"),
+                               integerField(o, "created_ms"),
+                               integerField(o, "max_turns"),
+                               integerField(o, "idle_ms")};
     }
     if (type == "call_begun") {
         return call_begun{program,
-                          number(o, "turn"),
-                          text(o, "key"),
-                          enumerator<call_kind>(o, "kind"),
+                          integerField(o, "turn"),
+                          stringField(o, "key"),
+                          parseEnumerator<call_kind>(o, "kind"),
                           o.at("idempotent").as_bool(),
-                          number(o, "reserved"),
-                          {text(o, "engine")}};
+                          integerField(o, "reserved"),
+                          {stringField(o, "engine")}};
     }
     if (type == "call_finished") {
         return call_finished{program,
-                             number(o, "turn"),
-                             text(o, "key"),
-                             number(o, "spent"),
-                             static_cast<int>(number(o, "status")),
-                             text(o, "messages"),
+                             integerField(o, "turn"),
+                             stringField(o, "key"),
+                             integerField(o, "spent"),
+                             static_cast<int>(integerField(o, "status")),
+                             stringField(o, "messages"),
                              decodeReply(o),
-                             text(o, "content_type"),
-                             {text(o, "engine")}};
+                             stringField(o, "content_type"),
+                             {stringField(o, "engine")}};
     }
     if (type == "call_failed") {
-        return call_failed{program, number(o, "turn"), text(o, "key"),
-                           enumerator<outcome>(o, "outcome"), number(o, "spent")};
+        return call_failed{program, integerField(o, "turn"), stringField(o, "key"),
+                           parseEnumerator<outcome>(o, "outcome"), integerField(o, "spent")};
     }
     if (type == "program_ended")
-        return program_ended{program, enumerator<end_reason>(o, "reason")};
+        return program_ended{program, parseEnumerator<end_reason>(o, "reason")};
     if (type == "program_released")
-        return program_released{program, {text(o, "engine")}};
+        return program_released{program, {stringField(o, "engine")}};
     throw std::runtime_error("unknown record type " + type);
 }
 
--- a/src/ownership/failure_detector.cpp
+++ b/src/ownership/failure_detector.cpp
@@ -7,16 +7,16 @@
 std::vector<member> ringSuccessorsOf(const cell_view &view, const daemon_id &self,
                                      std::size_t count)
 {
-    using place = std::pair<std::uint64_t, const member *>;
-    std::vector<place> ring;
+    using ring_position = std::pair<std::uint64_t, const member *>;
+    std::vector<ring_position> ring;
     for (const member &m : view.members)
         ring.emplace_back(stableHash(m.daemon.value), &m);
     std::sort(ring.begin(), ring.end());
-    const auto me = std::find_if(ring.begin(), ring.end(),
-                                 [&](const place &p) { return p.second->daemon == self; });
-    if (me == ring.end())
+    const auto ownPosition = std::find_if(
+        ring.begin(), ring.end(), [&](const ring_position &p) { return p.second->daemon == self; });
+    if (ownPosition == ring.end())
         return {};
-    std::rotate(ring.begin(), me, ring.end());
+    std::rotate(ring.begin(), ownPosition, ring.end());
     std::vector<member> result;
     for (std::size_t i = 1; i < ring.size() && result.size() < count; ++i)
         result.push_back(*ring[i].second);
@@ -36,7 +36,8 @@
         const bool before = std::any_of(m_watched.begin(), m_watched.end(), [&](const member &w) {
             return w.daemon == m.daemon && w.incarnation == m.incarnation;
         });
-        // Silence counts from the first heartbeat on: nobody sent this one any before.
+        // The silence timeout starts with the first heartbeat: this daemon has not sent any to the
+        // member before.
         if (!before)
             peers[{m.daemon, m.incarnation}].lastMessageAt = now;
     }
@@ -44,7 +45,7 @@
     m_watched = std::move(watched);
 }
 
-void failure_detector::onSign(const daemon_run &run, time_point now)
+void failure_detector::onMessageReceived(const daemon_run &run, time_point now)
 {
     const auto it = m_peers.find(run);
     if (it == m_peers.end())
@@ -53,21 +54,22 @@
     it->second.latestByObserver.erase(m_self);
 }
 
-void failure_detector::onRefused(const daemon_run &run, time_point now)
+void failure_detector::onConnectionRefused(const daemon_run &run, time_point now)
 {
-    note(run, m_self, {failure_kind::Refused, now});
+    recordObservation(run, m_self, {failure_kind::Refused, now});
 }
 
 void failure_detector::onEvidence(const std::vector<failure_evidence> &evidence, time_point now)
 {
     for (const failure_evidence &e : evidence) {
-        // What this daemon saw itself it knows better than what comes back of it.
+        // This daemon's own observations are more recent than their echo from other daemons.
         if (e.observer != m_self && e.run.daemon != m_self)
-            note(e.run, e.observer, {e.sign, now - e.age});
+            recordObservation(e.run, e.observer, {e.kind, now - e.age});
     }
 }
 
-void failure_detector::note(const daemon_run &run, const daemon_id &observer, peer_observation seen)
+void failure_detector::recordObservation(const daemon_run &run, const daemon_id &observer,
+                                         peer_observation seen)
 {
     const auto it = m_peers.find(run);
     if (it == m_peers.end())
@@ -84,9 +86,9 @@
         const peer &p = m_peers.at(run);
         const auto own = p.latestByObserver.find(m_self);
         const bool refuses = own != p.latestByObserver.end()
-            && own->second.sign == failure_kind::Refused && isFresh(own->second, now);
+            && own->second.kind == failure_kind::Refused && isFresh(own->second, now);
         if (!refuses && now >= p.lastMessageAt + m_settings.silenceTimeout)
-            note(run, m_self, {failure_kind::Silent, now});
+            recordObservation(run, m_self, {failure_kind::Silent, now});
     }
 }
 
@@ -110,10 +112,10 @@
     for (const auto &[run, p] : m_peers) {
         for (const auto &[observer, seen] : p.latestByObserver) {
             if (isFresh(seen, now))
-                result.push_back({run, observer, seen.sign, now - seen.at});
+                result.push_back({run, observer, seen.kind, now - seen.at});
         }
     }
-    // The newest first: they are what others don't know yet.
+    // Newest first: other daemons are the least likely to have these yet.
     std::stable_sort(
         result.begin(), result.end(),
         [](const failure_evidence &a, const failure_evidence &b) { return a.age < b.age; });
@@ -127,7 +129,7 @@
     std::set<daemon_id> result;
     for (const auto &[run, known] : m_peers) {
         const peer &p = known; // the linter's clang 14 can't capture a structured binding
-        // A sign of life seen here goes before what others saw earlier.
+        // A message received here overrides failures that others observed before it.
         const bool suspected = std::any_of(
             p.latestByObserver.begin(), p.latestByObserver.end(), [&](const auto &entry) {
                 return isFresh(entry.second, now) && entry.second.at > p.lastMessageAt;
@@ -138,7 +140,7 @@
     return result;
 }
 
-std::set<daemon_run> failure_detector::refusing(time_point now) const
+std::set<daemon_run> failure_detector::runsRefusingConnections(time_point now) const
 {
     constexpr int enoughObservers = 2;
     std::set<daemon_run> result;
@@ -147,7 +149,7 @@
         const auto observers = std::count_if(
             p.latestByObserver.begin(), p.latestByObserver.end(), [&](const auto &entry) {
                 const peer_observation &s = entry.second;
-                return s.sign == failure_kind::Refused && isFresh(s, now) && s.at > p.lastMessageAt;
+                return s.kind == failure_kind::Refused && isFresh(s, now) && s.at > p.lastMessageAt;
             });
         if (observers >= enoughObservers)
             result.insert(run);
--- a/src/ownership/lease.cpp
+++ b/src/ownership/lease.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Lives of a lease after which a row that stands still is deleted.
+/// Number of TTLs without a renewal after which a lease row is deleted.
 constexpr int abandonedAfterTtls = 10;
 
 } // namespace
@@ -41,13 +41,13 @@
 
 void lease_holder::onRenewed(time_point sentAt)
 {
-    // Answers may come in another order than their renewals went out.
+    // Responses may arrive in a different order than the renewals were sent.
     m_renewedAt = m_renewedAt ? std::max(*m_renewedAt, sentAt) : sentAt;
 }
 
 bool lease_holder::holds(time_point now) const
 {
-    return m_renewedAt && now < *m_renewedAt + m_settings.ttl - m_settings.margin;
+    return m_renewedAt && now < *m_renewedAt + m_settings.ttl - m_settings.clockMargin;
 }
 
 time_point lease_holder::nextRenewalAt() const
@@ -65,8 +65,9 @@
     for (const lease_record &lease : leases) {
         m_rows[lease.daemon] = lease;
         const auto [it, isNew] = m_observedRuns.try_emplace(
-            daemon_run{lease.daemon, lease.incarnation}, seen{lease.counter, now});
-        // A lower counter is an old renewal that the table applied late: no sign of life.
+            daemon_run{lease.daemon, lease.incarnation}, observed_counter{lease.counter, now});
+        // A lower counter is an old renewal that the table applied late; it does not show that the
+        // daemon is alive.
         if (!isNew && lease.counter > it->second.counter)
             it->second = {lease.counter, now};
     }
@@ -75,7 +76,7 @@
 
 void lease_observer::pruneEndedRuns()
 {
-    // Runs that ended long ago; those that are still members are watched again at once.
+    // Removes runs that ended long ago. Those that are still members are watched again immediately.
     std::erase_if(m_observedRuns, [this](const auto &entry) {
         const lease_record *lease = row(entry.first.daemon);
         const bool listed = lease && lease->incarnation == entry.first.incarnation;
@@ -83,11 +84,11 @@
     });
 }
 
-bool lease_observer::hasBeenUnchangedFor(const daemon_run &run, duration life) const
+bool lease_observer::hasBeenUnchangedFor(const daemon_run &run, duration period) const
 {
     const auto it = m_observedRuns.find(run);
     return it != m_observedRuns.end()
-        && m_lastRead >= it->second.changedAt + life + m_settings.margin;
+        && m_lastRead >= it->second.changedAt + period + m_settings.clockMargin;
 }
 
 bool lease_observer::hasExpired(const daemon_id &daemon, const std::string &incarnation) const
@@ -102,7 +103,7 @@
 
 void lease_observer::watch(const daemon_id &daemon, const std::string &incarnation, time_point now)
 {
-    m_observedRuns.try_emplace(daemon_run{daemon, incarnation}, seen{0, now});
+    m_observedRuns.try_emplace(daemon_run{daemon, incarnation}, observed_counter{0, now});
 }
 
 const lease_record *lease_observer::row(const daemon_id &daemon) const
@@ -111,7 +112,7 @@
     return it == m_rows.end() ? nullptr : &it->second;
 }
 
-std::vector<lease_record> lease_observer::abandoned() const
+std::vector<lease_record> lease_observer::abandonedLeases() const
 {
     std::vector<lease_record> result;
     for (const auto &[daemon, lease] : m_rows) {
--- a/src/ownership/ownership_history.cpp
+++ b/src/ownership/ownership_history.cpp
@@ -57,7 +57,7 @@
         const member *after = to.find(before.daemon);
         if (acceptsPrograms(before) && (!after || !acceptsPrograms(*after)))
             return true;
-        for (const program_id &kept : before.keeps) {
+        for (const program_id &kept : before.retainedPrograms) {
             if (owns(to, kept))
                 return true;
         }
--- a/src/ownership/placement.cpp
+++ b/src/ownership/placement.cpp
@@ -12,12 +12,13 @@
 }
 
 template <class Predicate>
-const member *memberOfHighestWeight(const cell_view &view, const program_id &root, Predicate counts)
+const member *memberOfHighestWeight(const cell_view &view, const program_id &root,
+                                    Predicate isEligible)
 {
     const std::uint64_t programHash = stableHash(root.value);
     const member *best = nullptr;
     for (const member &m : view.members) {
-        if (counts(m) && (!best || weightOf(m, programHash) > weightOf(*best, programHash)))
+        if (isEligible(m) && (!best || weightOf(m, programHash) > weightOf(*best, programHash)))
             best = &m;
     }
     return best;
@@ -47,9 +48,9 @@
 const member *ownerOf(const cell_view &view, const program_id &program)
 {
     const program_id root = rootOf(program);
-    // What a member keeps has a call under way, whose end that member alone can commit.
+    // A retained program has a running call whose end only the retaining member can commit.
     for (const member &m : view.members) {
-        if (std::binary_search(m.keeps.begin(), m.keeps.end(), root))
+        if (std::binary_search(m.retainedPrograms.begin(), m.retainedPrograms.end(), root))
             return &m;
     }
     return memberOfHighestWeight(view, root, acceptsPrograms);
--- a/test/io/door_world.h
+++ b/test/io/door_world.h
@@ -87,7 +87,7 @@
         s.operatorTokenSha256 = sha256Hex("operator");
         s.lease.ttl = seconds(3);
         s.lease.renewalInterval = s.lease.ttl / 3;
-        s.lease.margin = s.lease.ttl / 10;
+        s.lease.clockMargin = s.lease.ttl / 10;
         return s;
     }
 
--- a/test/io/inner_test.cpp
+++ b/test/io/inner_test.cpp
@@ -86,7 +86,7 @@
         CHECK(answer->from == runB);
         REQUIRE(answer->evidence.size() == 1);
         CHECK(answer->evidence[0].run == seen.run);
-        CHECK(answer->evidence[0].sign == failure_kind::Refused);
+        CHECK(answer->evidence[0].kind == failure_kind::Refused);
         CHECK(answer->evidence[0].age == seen.age);
     }
     SUBCASE("other texts get an error and do no harm")
--- a/test/logic/lease_test.cpp
+++ b/test/logic/lease_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const lease_settings rules;
+const lease_settings settings;
 const time_point start{seconds(1000)};
 
 lease_record record(std::uint64_t counter)
@@ -18,23 +18,23 @@
 
 TEST_CASE("The holder counts its lease from the sending of the renewal")
 {
-    lease_holder holder(rules);
+    lease_holder holder(settings);
     CHECK_FALSE(holder.holds(start));
     holder.onRenewed(start);
-    CHECK(holder.holds(start + rules.ttl - rules.margin - milliseconds(1)));
-    CHECK_FALSE(holder.holds(start + rules.ttl - rules.margin));
+    CHECK(holder.holds(start + settings.ttl - settings.clockMargin - milliseconds(1)));
+    CHECK_FALSE(holder.holds(start + settings.ttl - settings.clockMargin));
     SUBCASE("an answer that comes late does not shorten it")
     {
         holder.onRenewed(start + seconds(1));
         holder.onRenewed(start);
-        CHECK(holder.holds(start + rules.ttl));
+        CHECK(holder.holds(start + settings.ttl));
     }
 }
 
 TEST_CASE("An observer sees a lease lapse by its counter alone")
 {
-    lease_observer observer(rules);
-    const duration life = rules.ttl + rules.margin;
+    lease_observer observer(settings);
+    const duration life = settings.ttl + settings.clockMargin;
     observer.onRead({record(5)}, start, start);
     CHECK_FALSE(observer.hasExpired({"a"}, "1"));
     SUBCASE("after its life, by a read that shows it")
--- a/test/logic/ownership_history_test.cpp
+++ b/test/logic/ownership_history_test.cpp
@@ -42,9 +42,9 @@
     SUBCASE("when another gives up what is now this daemon's")
     {
         for (const program_id &id : testPrograms()) {
-            view.members[1].keeps = {id};
+            view.members[1].retainedPrograms = {id};
             change();
-            view.members[1].keeps.clear();
+            view.members[1].retainedPrograms.clear();
             const bool isOurs = ownerOf(view, id)->daemon.value == "a";
             CHECK(change() == isOurs);
         }
