--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-std::atomic<log_level> lowestLevel{log_level::Info};
+std::atomic<log_level> minLogLevel{log_level::Info};
 
 std::string utcNow()
 {
     const std::int64_t ms = unixMilliseconds();
-    const std::time_t whole = ms / 1000;
-    return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(whole), ms % 1000);
+    const std::time_t wholeSeconds = ms / 1000;
+    return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(wholeSeconds), ms % 1000);
 }
 
 boost::json::value toJson(const log_field &field)
@@ -31,9 +31,9 @@
 
 } // namespace
 
-void setLogLevel(log_level lowest)
+void setLogLevel(log_level minLevel)
 {
-    lowestLevel = lowest;
+    minLogLevel = minLevel;
 }
 
 std::string formatLogLine(log_level level, std::string_view event,
@@ -50,7 +50,7 @@
 
 void logEvent(log_level level, std::string_view event, std::initializer_list<log_field> fields)
 {
-    if (level < lowestLevel)
+    if (level < minLogLevel)
         return;
     // One write a line, so that lines of several threads don't mix.
     fmt::print(stderr, "{}", formatLogLine(level, event, fields));
@@ -59,7 +59,7 @@
 void logDecision(log_event event, std::initializer_list<log_field> fields)
 {
     const log_level level = levelOf(event);
-    if (level < lowestLevel)
+    if (level < minLogLevel)
         return;
     log_sink *sink = currentLogSink();
     const std::int64_t nowMs = unixMilliseconds();
@@ -67,7 +67,7 @@
         return;
     const std::string line = formatLogLine(level, toName(event), fields);
     if (sink)
-        sink->put(event, line, nowMs);
+        sink->append(event, line, nowMs);
     else
         fmt::print(stderr, "{}", line);
 }
--- a/src/core/log.h
+++ b/src/core/log.h
@@ -26,7 +26,7 @@
 };
 
 /// \brief Sets the lowest level that is written.
-void setLogLevel(log_level lowest);
+void setLogLevel(log_level minLevel);
 
 /// \brief Writes one JSON line to standard error: time, level, event and \p fields.
 void logEvent(log_level level, std::string_view event,
--- a/src/core/runtime_clock.cpp
+++ b/src/core/runtime_clock.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 std::atomic<bool> paused{false};
-std::atomic<duration::rep> pausedAt{0};
+std::atomic<duration::rep> pausedTime{0};
 
-duration machineTime() noexcept
+duration bootTime() noexcept
 {
     timespec t{};
     clock_gettime(CLOCK_BOOTTIME, &t);
@@ -21,18 +21,18 @@
 
 time_point runtime_clock::now() noexcept
 {
-    return time_point(paused ? duration(pausedAt.load()) : machineTime());
+    return time_point(paused ? duration(pausedTime.load()) : bootTime());
 }
 
 void runtime_clock::pause() noexcept
 {
-    pausedAt = machineTime().count();
+    pausedTime = bootTime().count();
     paused = true;
 }
 
 void runtime_clock::advance(duration step) noexcept
 {
-    pausedAt += step.count();
+    pausedTime += step.count();
 }
 
 void runtime_clock::resume() noexcept
--- a/src/daemon/control_calls.cpp
+++ b/src/daemon/control_calls.cpp
@@ -200,7 +200,7 @@
         // A call of the program may be waiting for its replica: it begins, or not, before this one.
         if (const auto placing = m_placing.find(spec.request.program); placing != m_placing.end()) {
             const auto placed = placing->second;
-            co_await placed->waitPast(0);
+            co_await placed->waitForChangeSince(0);
             continue;
         }
         const auto decision = m_book.decide(spec.request, unixMilliseconds());
--- a/src/daemon/control_commits.cpp
+++ b/src/daemon/control_commits.cpp
@@ -20,7 +20,7 @@
     m_commitWaits.emplace(*ticket, wait);
     m_commitTimer.cancel();
     while (!wait->result)
-        co_await wait->changed.waitPast(wait->changed.version());
+        co_await wait->changed.waitForChangeSince(wait->changed.version());
     co_return *wait->result;
 }
 
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -157,7 +157,7 @@
     const time_point until = std::min(storeCallDeadline(), deadline);
     const auto done = co_await m_store.transact(std::move(t), until);
     if (!done)
-        logDecision(log_event::NotUnregistered, {{"detail", done.error().detail}});
+        logDecision(log_event::DeregistrationFailed, {{"detail", done.error().detail}});
 }
 
 http_response entry_control::answerLookup()
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -81,7 +81,7 @@
 {
     m_pacedStore.setRates(m_settings.storeWritesPerSecond, m_daemons);
     m_pacedStore.setMerging(m_settings.storeSpansParts
-                            && m_settings.mechanisms.has(mechanism::MergedWrites));
+                            && m_settings.mechanisms.has(mechanism::BatchedWrites));
     spawn(m_executor, "watchOutages", m_store.watchOutages());
     spawn(m_executor, "sweep", sweep());
     spawn(m_executor, "removeOldRows", removeExpiredRows());
--- a/src/entry/local_reply_writer.cpp
+++ b/src/entry/local_reply_writer.cpp
@@ -20,7 +20,7 @@
                                           duration retryAfter)
 {
     logDecision(
-        log_event::OwnAnswer,
+        log_event::LocalReply,
         {{"request", call->request.id},
          {"program", call->request.program.value},
          {"previous", call->request.previousTurn.value},
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -133,7 +133,7 @@
         = co_await connection.connect(address, runtime_clock::now() + connectTimeout);
     const time_point now = runtime_clock::now();
     m_probedReplicas.erase(who);
-    logDecision(log_event::SilenceChecked,
+    logDecision(log_event::SilentReplicaProbed,
                 {{"replica", who.id.value}, {"alive", connected.has_value()}});
     const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
--- a/src/runtime/spawn.cpp
+++ b/src/runtime/spawn.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-[[noreturn]] void die(const std::string &name, std::exception_ptr error)
+[[noreturn]] void abortOnException(const std::string &name, std::exception_ptr error)
 {
     std::string detail = "not a std::exception";
     try {
@@ -28,7 +28,7 @@
 {
     asio::co_spawn(executor, std::move(body), [name = std::string(name)](std::exception_ptr error) {
         if (error)
-            die(name, std::move(error));
+            abortOnException(name, std::move(error));
     });
 }
 
--- a/test/io/inner_test.cpp
+++ b/test/io/inner_test.cpp
@@ -67,7 +67,7 @@
     awaitable<void> serve(const http_request &request, response_writer &writer)
     {
         if (std::exchange(stallNext, false))
-            co_await never.waitPast(never.version());
+            co_await never.waitForChangeSince(never.version());
         http_response response = jsonResponse(200, answerOfB(request.body));
         co_await writer.write(std::move(response));
         ++answers;
