--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief Words that every other module uses: ids, the clock, outcomes, names of enumerators, logs.
+/// \brief Types shared by all modules: ids, the clock, request outcomes, enumerator names and
+/// logging.
 
 #include "core/enum_names.h"
 #include "core/ids.h"
--- a/src/core/enum_names.h
+++ b/src/core/enum_names.h
@@ -7,14 +7,14 @@
 
 namespace azurehill {
 
-/// \brief Table of the names of an enumeration, in the order of its enumerators.
+/// \brief Traits class with the external names of the enumerators, in the order of declaration.
 ///
-/// Specialise with `static constexpr std::array<std::string_view, N> names`. The enumerators must
-/// count up from zero.
+/// Specialisations define `static constexpr std::array<std::string_view, N> names`. The values of
+/// the enumerators must be consecutive and begin at zero.
 template <class Enum>
 struct enum_names;
 
-/// \returns the name of \p value, or "?" when it is none of the enumerators.
+/// \returns the name of \p value, or "?" if it is not an enumerator.
 template <class Enum>
 constexpr std::string_view toName(Enum value)
 {
@@ -23,7 +23,7 @@
     return index < names.size() ? names[index] : std::string_view("?");
 }
 
-/// \returns the enumerator called \p name, or nothing.
+/// \returns the enumerator with the name \p name, or std::nullopt if there is none.
 template <class Enum>
 constexpr std::optional<Enum> fromName(std::string_view name)
 {
--- a/src/core/ids.cpp
+++ b/src/core/ids.cpp
@@ -25,7 +25,7 @@
 {
     std::vector<unsigned char> raw(static_cast<std::size_t>(bytes));
     if (RAND_bytes(raw.data(), bytes) != 1)
-        throw std::runtime_error("the random number generator of OpenSSL has no entropy");
+        throw std::runtime_error("the random number generator of OpenSSL failed (RAND_bytes)");
     constexpr std::string_view digits = "0123456789abcdef";
     std::string text;
     for (const unsigned char byte : raw) {
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -8,7 +8,7 @@
 
 namespace azurehill {
 
-/// \brief A string that is an id of one kind and converts to no other kind.
+/// \brief Strongly typed string id: ids with different tags do not convert to each other.
 template <class Tag>
 struct basic_id
 {
@@ -24,25 +24,28 @@
 using upstream_id = basic_id<struct upstream_tag>;
 using data_centre_id = basic_id<struct data_centre_tag>;
 
-/// \brief Number that grows with every change of owners. A write that carries an older one fails.
+/// \brief Fencing token: increases with every change of ownership. A write with an older token
+/// fails.
 using fencing_number = std::uint64_t;
 
-/// \returns a new program id of 96 random bits; ids of sub-agents begin with their root's id.
+/// \returns a new program id: 96 random bits for a root program; the id of a sub-agent is its
+/// parent's id followed by a random suffix, so it has the root's id as a prefix.
 /// \param parent the parent's id, or an empty id for a root program.
 program_id makeProgramId(const program_id &parent = {});
 
-/// \returns the id of the root program that \p id belongs to (itself for a root).
+/// \returns the id of the root program of \p id, which is \p id itself for a root.
 ///
-/// Placement, budget and history are kept by root, so a family always lives on one daemon.
+/// Placement, budget and history are keyed by the root's id, so that a program and all its
+/// sub-agents are owned by the same daemon.
 program_id rootOf(const program_id &id);
 
-/// \returns whether \p text has the form of a program id.
+/// \returns whether \p text is a syntactically valid program id.
 bool isProgramId(std::string_view text);
 
 /// \returns \p bytes random bytes as lower-case hexadecimal digits.
 std::string randomHex(int bytes);
 
-/// \returns a 64 bit hash that is the same in every process.
+/// \returns a 64-bit hash of \p text that is the same in all processes and on all hosts.
 std::uint64_t stableHash(std::string_view text, std::uint64_t seed = 0);
 
 } // namespace azurehill
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -52,7 +52,7 @@
 {
     if (level < minLogLevel)
         return;
-    // One write a line, so that lines of several threads don't mix.
+    // A single write per line keeps lines of different threads from interleaving.
     fmt::print(stderr, "{}", formatLogLine(level, event, fields));
 }
 
--- a/src/core/log_event.h
+++ b/src/core/log_event.h
@@ -7,8 +7,8 @@
 
 namespace azurehill {
 
-/// \brief What a daemon tells in its log: decisions about a request, and changes of what it
-/// believes. docs/LOGS.md explains each with its fields.
+/// \brief Events in a daemon's log: scheduling decisions for a request, and changes of the state
+/// that the daemon observes. docs/LOGS.md describes each event and its fields.
 enum class log_event {
     Started,
     Stopping,
@@ -101,7 +101,7 @@
                                                                "log_dropped"};
 };
 
-/// \returns how serious an event is.
+/// \returns the level at which \p event is logged.
 constexpr log_level levelOf(log_event event)
 {
     switch (event) {
@@ -130,7 +130,8 @@
     }
 }
 
-/// \brief Writes one line for \p event. Never waits: a line too many is dropped and counted.
+/// \brief Logs \p event to the log sink in use without blocking; a line over the rate limit or the
+/// size of the buffer is dropped and counted. Without a sink the line goes to standard error.
 void logDecision(log_event event, std::initializer_list<log_field> fields = {});
 
 } // namespace azurehill
--- a/src/core/log_line.h
+++ b/src/core/log_line.h
@@ -6,7 +6,7 @@
 
 namespace azurehill {
 
-/// \returns one JSON line, with a line feed: time, level, event and \p fields.
+/// \returns a JSON object with the time, level, event and \p fields, followed by a line feed.
 std::string formatLogLine(log_level level, std::string_view event,
                           std::initializer_list<log_field> fields);
 
--- a/src/core/log_sink.cpp
+++ b/src/core/log_sink.cpp
@@ -13,22 +13,22 @@
 namespace {
 
 constexpr std::int64_t dropReportIntervalMs = 1000;
-/// Room that must be left for another line to be put together: most are shorter (300 bytes for a
-/// send, on a calm day).
+/// Free space in the buffer below which a line is dropped before it is formatted. Most lines are
+/// shorter: a line for a send has about 300 bytes.
 constexpr std::size_t typicalLineBytes = 512;
-/// Lines are gathered this long before they are written, so that the thread wakes rarely.
+/// Lines are collected for this time before they are written, which limits wake-ups of the thread.
 constexpr milliseconds writeDelay{20};
 
 std::atomic<log_sink *> activeSink{nullptr};
 
-/// \brief Writes all of \p text, waiting for the reader as long as it takes.
+/// \brief Writes all of \p text; blocks without a timeout while the reader does not read.
 void writeAll(int descriptor, std::string_view text)
 {
     while (!text.empty()) {
         const ssize_t n = ::write(descriptor, text.data(), text.size());
         if (n < 0 && errno == EINTR)
             continue;
-        // Without a reader there is nobody to tell.
+        // The reader has closed its end, so that the error cannot be reported through it either.
         if (n <= 0)
             return;
         text.remove_prefix(static_cast<std::size_t>(n));
@@ -47,8 +47,8 @@
     return activeSink;
 }
 
-log_sink::log_sink(int descriptor, const log_limits &bounds)
-    : m_descriptor(descriptor), m_bounds(bounds)
+log_sink::log_sink(int descriptor, const log_limits &limits)
+    : m_descriptor(descriptor), m_limits(limits)
 { }
 
 bool log_sink::isWithinRate(log_event event, std::int64_t nowMs)
@@ -58,7 +58,7 @@
         m_linesThisSecond.fill(0);
     }
     const bool isSerious = levelOf(event) >= log_level::Warning;
-    const int limit = isSerious ? m_bounds.maxWarningsPerSecond : m_bounds.maxInfoPerSecond;
+    const int limit = isSerious ? m_limits.maxWarningsPerSecond : m_limits.maxInfoPerSecond;
     return ++m_linesThisSecond[static_cast<std::size_t>(event)] <= limit;
 }
 
@@ -84,7 +84,7 @@
 bool log_sink::admits(log_event event, std::int64_t nowMs)
 {
     const std::lock_guard lock(m_mutex);
-    const bool hasRoom = m_pendingText.size() + typicalLineBytes <= m_bounds.maxPendingBytes;
+    const bool hasRoom = m_pendingText.size() + typicalLineBytes <= m_limits.maxPendingBytes;
     const bool isAdmitted = isWithinRate(event, nowMs) && hasRoom;
     if (!isAdmitted)
         countDropped(event);
@@ -94,7 +94,7 @@
 void log_sink::append(log_event event, const std::string &line, std::int64_t nowMs)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_pendingText.size() + line.size() > m_bounds.maxPendingBytes) {
+    if (m_pendingText.size() + line.size() > m_limits.maxPendingBytes) {
         countDropped(event);
         return;
     }
--- a/src/core/log_sink.h
+++ b/src/core/log_sink.h
@@ -11,36 +11,42 @@
 
 namespace azurehill {
 
-/// \brief Bounds of the log.
+/// \brief Limits on buffered log lines and on their rate.
 struct log_limits
 {
-    /// Bytes of lines that wait for the reader of the output.
+    /// Maximum size of the lines not yet written to the output, in bytes.
     std::size_t maxPendingBytes = 1U << 20U;
-    /// Lines a second of one event. Requests that went well are many and alike.
+    /// Maximum lines per second and event below the level Warning: lines of successful requests are
+    /// numerous and similar.
     int maxInfoPerSecond = 500;
-    /// The same for warnings and errors: below this rate no failed or refused request is missing.
+    /// Maximum lines per second and event for warnings and errors. It is higher, so that the log is
+    /// complete for failed and refused requests up to this rate.
     int maxWarningsPerSecond = 2000;
 };
 
-/// \brief Takes lines from any thread and writes them on one of its own.
+/// \brief Asynchronous log writer with a bounded buffer: any thread appends lines, and a thread of
+/// the sink writes them to a file descriptor.
 ///
-/// A reader of standard output that is slow or stands still blocks that thread only; lines that
-/// find no room are dropped, counted, and told in the log once there is room again.
+/// A reader of the output that is slow or has stopped blocks only the thread of the sink. Lines
+/// that do not fit into the buffer or exceed the rate limit are dropped and counted; the counts are
+/// logged (log_dropped) once the buffer has space again.
 class log_sink
 {
 public:
-    log_sink(int descriptor, const log_limits &bounds);
+    log_sink(int descriptor, const log_limits &limits);
 
-    /// \brief Counts a line of \p event. \returns whether the rate allows it and there is room, so
-    /// that a line that is dropped need not be put together.
+    /// \brief Counts a line of \p event against the rate limit. \returns whether the line is within
+    /// the limit and the buffer has space, so that a dropped line need not be formatted.
     bool admits(log_event event, std::int64_t nowMs);
-    /// \brief Takes \p line, which was admitted, if there is room. Never waits for the reader.
+    /// \brief Adds an admitted \p line to the buffer, or drops it if the buffer is full. Never
+    /// blocks on the reader.
     void append(log_event event, const std::string &line, std::int64_t nowMs);
-    /// \brief Writes until stop(); the body of the sink's thread.
+    /// \brief Writes buffered lines until stop(). This is the main function of the sink's thread.
     void run();
-    /// \brief Lets run() end once all lines are out. \returns whether they were, within \p limit.
+    /// \brief Makes run() return once all lines are written. \returns whether it has finished
+    /// within \p limit.
     bool stop(duration limit);
-    /// \returns lines dropped so far.
+    /// \returns the number of lines dropped since construction.
     std::uint64_t dropped() const;
 
 private:
@@ -51,7 +57,7 @@
     std::string takeDropReport(std::int64_t nowMs);
 
     int m_descriptor;
-    log_limits m_bounds;
+    log_limits m_limits;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     std::string m_pendingText;
@@ -64,9 +70,9 @@
     std::int64_t m_reportedAtMs = 0;
 };
 
-/// \brief Sends all lines of the process to \p sink, or back to standard error for null.
+/// \brief Directs the lines of logDecision() to \p sink, or to standard error if it is null.
 void setLogSink(log_sink *sink);
-/// \returns the sink in use, or null.
+/// \returns the sink set by setLogSink(), or null.
 log_sink *currentLogSink();
 
 } // namespace azurehill
--- a/src/core/mechanism.h
+++ b/src/core/mechanism.h
@@ -8,30 +8,36 @@
 
 namespace azurehill {
 
-/// \brief Parts of the policy that can be switched off by name, to measure what each is worth.
-/// docs/DECISIONS.md has the figures.
+/// \brief Parts of the scheduling policy that can be disabled by name for ablation measurements.
+/// docs/DECISIONS.md has the results.
 enum class mechanism {
-    /// Requests wait for a place at a service's engines, ordered by what they can win.
+    /// Admission control: a limit on the requests in flight per service. Requests over the limit
+    /// are queued in order of the benefit of serving them.
     EngineAdmission,
-    /// The bound on places starts from the replicas' slots, and ends a little above them.
+    /// The initial value and the maximum of the concurrency limit derive from the number of slots
+    /// of the replicas; the maximum is slightly above it.
     SlotBasedLimits,
-    /// Prompt tokens that a replica would read are priced for the requests that it would hold up.
+    /// The cost of a replica includes the delay of its other requests while it reads the uncached
+    /// tokens of the prompt.
     PrefillInterference,
-    /// Parts that many programs share count as cached wherever a replica has run for a while.
+    /// Prompt parts that many programs share count as cached on every replica that has been listed
+    /// longer than the warm-up time.
     SharedPromptParts,
-    /// A replica whose answers begin later than its peers' counts as slower.
+    /// A replica's slowness factor is learned from its time to first byte compared with that of its
+    /// peers.
     LearnedSlowness,
-    /// Writes keep to the daemon's part of the store's rate, most urgent first.
+    /// Writes are paced to the daemon's share of the store's rate limit, the most urgent first.
     PacedWrites,
-    /// Writes that have to wait go in one transaction.
+    /// Queued writes are batched into one transaction.
     BatchedWrites,
-    /// A call beyond the store's rate is made again and is no sign of an outage.
+    /// A call that the store rejects for its rate limit is retried and does not count as an outage.
     RateLimitIsNoOutage,
-    /// Calls that the store does not answer here are made through another daemon.
+    /// If the store is unreachable from this daemon, calls go through another daemon.
     PeerStoreCalls,
-    /// Daemons read the replicas' entries by turns, and take changes from each other.
+    /// Daemons share the polling of the replica table and fetch changes from each other.
     SharedTablePolling,
-    /// The turns of a session whose caller keeps its history go to the replica that hashing names.
+    /// Session affinity: the turns of a session whose caller keeps its history go to a replica
+    /// chosen by rendezvous hashing.
     SessionAffinity,
 };
 
@@ -44,21 +50,21 @@
            "peer_calls",       "table_turns",  "session_homes"};
 };
 
-/// \brief Which mechanisms are on; all of them unless told otherwise.
+/// \brief Set of the enabled mechanisms; by default all are enabled.
 class mechanism_set
 {
 public:
     bool has(mechanism m) const { return !m_disabled.test(static_cast<std::size_t>(m)); }
     void disable(mechanism m) { m_disabled.set(static_cast<std::size_t>(m)); }
-    /// \returns the names of those that are off, separated by commas.
+    /// \returns the names of the disabled mechanisms, separated by commas.
     std::string disabledNames() const;
 
 private:
     std::bitset<enum_names<mechanism>::names.size()> m_disabled;
 };
 
-/// \brief Switches off the mechanisms named in \p list, separated by commas.
-/// \returns the name that is none, or an empty text.
+/// \brief Disables the mechanisms in the comma-separated \p list.
+/// \returns the first unknown name, at which processing stops, or an empty string if all are known.
 std::string disableByName(mechanism_set &mechanisms, std::string_view list);
 
 } // namespace azurehill
--- a/src/core/outcome.h
+++ b/src/core/outcome.h
@@ -4,10 +4,10 @@
 
 namespace azurehill {
 
-/// \brief What is known of a request that did not end well.
+/// \brief Whether a failed request was executed, as far as the daemon can determine.
 ///
-/// Only DidNotRun may be called a refusal and sent again by itself. A time-out after the bytes left
-/// is Unknown, never DidNotRun.
+/// Only DidNotRun may be reported as a refusal and retried automatically. A timeout after the
+/// request was sent is Unknown, never DidNotRun.
 enum class outcome { DidNotRun, Ran, Unknown };
 
 template <>
--- a/src/core/runtime_clock.h
+++ b/src/core/runtime_clock.h
@@ -4,10 +4,10 @@
 
 namespace azurehill {
 
-/// \brief Clock of every timer and lease.
+/// \brief Monotonic clock for all timers and leases.
 ///
-/// It counts the time that the machine is suspended (CLOCK_BOOTTIME), since a lease goes on lapsing
-/// while its holder sleeps. Tests pause it and move it by hand.
+/// It includes the time in which the host is suspended (CLOCK_BOOTTIME), since a lease also expires
+/// while its holder is suspended. Tests pause and advance it.
 struct runtime_clock
 {
     using duration = std::chrono::nanoseconds;
@@ -18,13 +18,12 @@
 
     static time_point now() noexcept;
 
-    /// \brief Stops the clock where it stands.
+    /// \brief Stops the clock at the current time.
     static void pause() noexcept;
-    /// \brief Moves a paused clock on by \p step.
+    /// \brief Advances a paused clock by \p step.
     static void advance(duration step) noexcept;
-    /// \brief Lets the clock run with the machine's time again.
+    /// \brief Makes a paused clock follow the system's time again.
     static void resume() noexcept;
-    /// \returns whether the clock is paused.
     static bool isPaused() noexcept;
 };
 
@@ -33,14 +32,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// \returns \p d in whole milliseconds.
+/// \returns \p d in milliseconds, rounded towards zero.
 constexpr std::int64_t toMilliseconds(duration d)
 {
     return std::chrono::duration_cast<milliseconds>(d).count();
 }
 
-/// \returns milliseconds since 1970 by the machine's calendar clock; for display and activation
-/// times only, never for leases.
+/// \returns Unix time in milliseconds by the system's wall clock, which may be adjusted. Only for
+/// display and activation times, never for leases.
 std::int64_t unixMilliseconds();
 
 } // namespace azurehill
--- a/src/core/traffic_meter.cpp
+++ b/src/core/traffic_meter.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Time that the lines of one report are about. Ten purposes make a line a second and daemon.
+/// Minimum interval between reports, which have one line per purpose: with ten purposes a daemon
+/// logs one line per second on average.
 constexpr duration reportPeriod = seconds(10);
 
 } // namespace
--- a/src/core/traffic_meter.h
+++ b/src/core/traffic_meter.h
@@ -9,15 +9,16 @@
 
 namespace azurehill {
 
-/// \brief Counts calls and bytes by their purpose, and writes them to the log once in a while.
+/// \brief Counts calls and bytes by purpose and logs the totals periodically.
 ///
-/// What a daemon costs the store and the network while nothing goes wrong shows in no other line.
-/// Used from one thread.
+/// No other log line shows the load of a daemon on the store and the network in normal operation.
+/// Not thread-safe.
 class traffic_meter
 {
 public:
-    /// \brief A call for \p purpose sent and received so many bytes. Writes a line for each purpose
-    /// (traffic_counted) if the last ones were written long enough ago.
+    /// \brief Counts a call for \p purpose that sent \p sent and received \p received bytes. Logs
+    /// and resets the counts of the previous period (traffic_counted, one line per purpose) if it
+    /// is over.
     void onCall(std::string_view purpose, std::size_t sent, std::size_t received, time_point now);
 
 private:
--- a/src/explain/log_story.cpp
+++ b/src/explain/log_story.cpp
@@ -18,7 +18,7 @@
     return v.is_string() ? std::string(v.get_string()) : json::serialize(v);
 }
 
-/// \returns the last word of \p text, or nothing.
+/// \returns the last space-separated word of \p text, or an empty string.
 std::string_view lastWord(std::string_view text)
 {
     const std::size_t end = text.find_last_not_of(' ');
@@ -54,7 +54,8 @@
     return e.field("request") == id || e.field("program") == id;
 }
 
-/// \brief What the lines of a request say of where else to look.
+/// \brief Daemons, replicas and time range in the log lines of a request or program. They select
+/// the context lines that are shown with it.
 struct timeline_scope
 {
     std::set<std::string> sources;
@@ -65,31 +66,32 @@
 
 timeline_scope scopeOf(const std::vector<const log_entry *> &own)
 {
-    timeline_scope frame;
+    timeline_scope scope;
     for (const log_entry *e : own) {
-        frame.sources.insert(e->source);
+        scope.sources.insert(e->source);
         if (!e->field("replica").empty())
-            frame.replicas.emplace(e->field("replica"));
+            scope.replicas.emplace(e->field("replica"));
     }
-    frame.begin = own.front()->time;
-    frame.end = own.back()->time;
-    return frame;
+    scope.begin = own.front()->time;
+    scope.end = own.back()->time;
+    return scope;
 }
 
-/// \returns whether \p e tells what a daemon of the story believed, in the time of the story or as
-/// the last word before it.
-bool isContext(const log_entry &e, const timeline_scope &frame)
+/// \returns whether \p e is context for the timeline, that is, an event of one of its daemons no
+/// later than its end: about one of its replicas at any earlier time, or about the daemon,
+/// its configuration, its peers or the store within the time range.
+bool isContext(const log_entry &e, const timeline_scope &scope)
 {
-    if (!frame.sources.contains(e.source) || e.time > frame.end)
+    if (!scope.sources.contains(e.source) || e.time > scope.end)
         return false;
     static const std::set<std::string, std::less<>> replicaEvents
         = {"replica_doubted", "replica_trusted", "replica_draining", "replica_gone"};
     if (replicaEvents.contains(e.event))
-        return frame.replicas.contains(std::string(e.field("replica")));
+        return scope.replicas.contains(std::string(e.field("replica")));
     static const std::set<std::string, std::less<>> daemonEvents
         = {"store_lost",  "store_regained",        "started",    "stopping",
            "log_dropped", "configuration_adopted", "member_gone"};
-    return daemonEvents.contains(e.event) && e.time >= frame.begin;
+    return daemonEvents.contains(e.event) && e.time >= scope.begin;
 }
 
 std::string formatEntry(const log_entry &e, bool isOwn)
@@ -101,7 +103,8 @@
     return text + "\n";
 }
 
-/// \returns what the lines of one request should have and have not.
+/// \returns messages for the expected log lines that are missing from \p own, by request, and for
+/// log lines that a daemon dropped.
 std::string describeMissingLines(const std::vector<const log_entry *> &own, bool logDropped)
 {
     std::map<std::string, std::set<std::string>> eventsOf;
@@ -120,7 +123,7 @@
                                 request);
     }
     if (logDropped)
-        text += "missing: a daemon of the story dropped log lines in this time\n";
+        text += "missing: a daemon of the timeline dropped log lines in this period\n";
     return text;
 }
 
@@ -161,11 +164,11 @@
     if (own.empty())
         return text + fmt::format("no line names {} as a request or a program\n", id);
 
-    const timeline_scope frame = scopeOf(own);
+    const timeline_scope scope = scopeOf(own);
     std::vector<const log_entry *> all = own;
     bool logDropped = false;
     for (const log_entry &e : lines.entries) {
-        if (mentionsId(e, id) || !isContext(e, frame))
+        if (mentionsId(e, id) || !isContext(e, scope))
             continue;
         all.push_back(&e);
         logDropped = logDropped || e.event == "log_dropped";
--- a/src/runtime/asio_sources.cpp
+++ b/src/runtime/asio_sources.cpp
@@ -1,3 +1,3 @@
-// The one place where the sources of Asio and Beast are compiled.
+// Separate compilation of Asio and Beast: the only file that may include their sources.
 #include <boost/asio/impl/src.hpp>
 #include <boost/beast/src.hpp>
--- a/src/runtime/deadline_guard.cpp
+++ b/src/runtime/deadline_guard.cpp
@@ -36,10 +36,12 @@
 
     timer waitTimer;
     time_point deadline;
-    /// The time that the timer waits for, at or before the deadline while it watches.
+    /// Time for which the timer is set. While an operation is watched, it is not after the
+    /// deadline.
     time_point timerExpiry;
     std::function<void()> onExpiry;
-    /// Grows with every wait, so that one that was replaced does nothing any more.
+    /// Number of the latest wait. Handlers of earlier waits compare their own number with it and
+    /// return.
     unsigned waitGeneration = 0;
     bool watching = false;
     bool armed = false;
@@ -63,8 +65,8 @@
     m_state->watching = true;
     m_state->deadline = until;
     m_state->onExpiry = std::move(onExpiry);
-    // A stream starts and finishes a watch for every token. A timer that is already set for an
-    // earlier time stays: when it fires it is set again for what is left.
+    // A stream starts and finishes a watch for every token, so the timer is not reset if it is
+    // already set for an earlier time: when it fires, it is set again for the new deadline.
     if (!m_state->armed || until < m_state->timerExpiry)
         m_state->arm();
 }
--- a/src/runtime/deadline_guard.h
+++ b/src/runtime/deadline_guard.h
@@ -8,10 +8,10 @@
 
 namespace azurehill {
 
-/// \brief Calls a function when an operation has not finished by its deadline.
+/// \brief Watchdog timer: calls a function if an operation has not finished by its deadline.
 ///
-/// Asio's sockets have no deadline of their own, and a peer that went silent never ends an
-/// operation: without this the coroutine would wait for ever. All calls come from one strand.
+/// Asio's sockets have no timeouts. Without this class a coroutine would wait forever for a peer
+/// that has stopped responding. All calls must come from one strand.
 class deadline_guard
 {
 public:
@@ -20,12 +20,12 @@
     deadline_guard(const deadline_guard &) = delete;
     deadline_guard &operator=(const deadline_guard &) = delete;
 
-    /// \brief Calls \p onExpiry at \p until, unless finish() comes first.
+    /// \brief Watches an operation: calls \p onExpiry at \p until unless finish() is called before.
     void start(time_point until, std::function<void()> onExpiry);
-    /// \brief Ends the watch; an expiry that is already queued does nothing any more. The timer
-    /// itself may go on until the deadline or the end of this object.
+    /// \brief Ends the watch; an expiry that is already queued has no effect. The timer itself may
+    /// stay set until the deadline or the destruction of this object.
     void finish();
-    /// \returns whether the last watch expired.
+    /// \returns whether the last watch reached its deadline.
     bool expired() const;
 
 private:
--- a/src/runtime/notifier.h
+++ b/src/runtime/notifier.h
@@ -10,18 +10,18 @@
 
 namespace azurehill {
 
-/// \brief Wakes coroutines of any thread when something has changed.
+/// \brief Condition variable for coroutines: resumes waiters on any thread after a change of state.
 ///
-/// A waiter reads version(), looks at what it waits for, and then waits past that version: a change
-/// between the look and the wait is not missed.
+/// A waiter reads version(), checks its condition, and then calls waitForChangeSince() with that
+/// version, so that a change between the check and the wait is not missed.
 class notifier
 {
 public:
-    /// \returns the number of changes so far.
+    /// \returns the number of calls of notifyAll().
     std::uint64_t version() const;
-    /// \brief Counts a change and resumes every waiter on its own executor.
+    /// \brief Increments version() and resumes each waiter on the executor of its coroutine.
     void notifyAll();
-    /// \brief Waits until there are more than \p seen changes.
+    /// \brief Waits until version() is greater than \p seen.
     awaitable<void> waitForChangeSince(std::uint64_t seen);
 
 private:
--- a/src/runtime/run_on.h
+++ b/src/runtime/run_on.h
@@ -7,12 +7,14 @@
 
 namespace azurehill {
 
-/// \brief Runs \p task on \p executor and comes back with its result.
+/// \brief Runs \p task on \p executor and returns an awaitable of its result.
 ///
-/// Traffic threads reach the control state only through this, so that state needs no locks.
-/// \param task a function without arguments, plain or a coroutine. It is taken by reference to a
-/// named object on purpose: g++ 12 destroys a lambda twice that is a temporary of a co_await
-/// expression, which shows as "free(): invalid pointer".
+/// Traffic threads access the control state only through this function, so that state needs no
+/// locks.
+///
+/// \param task a function or coroutine without parameters. The lvalue reference excludes
+/// temporaries: g++ 12 destroys a lambda twice if it is a temporary in a co_await expression, which
+/// fails with "free(): invalid pointer".
 template <class Function>
 auto runOn(asio::any_io_executor executor, Function &task)
 {
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief Asio with the project's clock: timers, notifications between threads, hops between
-/// executors.
+/// \brief Asio utilities based on runtime_clock: timers, notifications between threads, and running
+/// functions on other executors.
 
 #include "runtime/asio.h"
 #include "runtime/deadline_guard.h"
--- a/src/runtime/timer.h
+++ b/src/runtime/timer.h
@@ -11,7 +11,8 @@
 
 namespace internal {
 
-/// \brief Makes Asio look at the project's clock often enough to see it moved by a test.
+/// \brief Wait traits that make Asio poll a paused runtime_clock every millisecond, since a test
+/// may advance it at any time.
 struct clock_wait_traits
 {
     static duration to_wait_duration(const duration &d)
@@ -29,7 +30,7 @@
 
 using timer = asio::basic_waitable_timer<runtime_clock, internal::clock_wait_traits>;
 
-/// \brief Waits for \p d by the project's clock.
+/// \brief Suspends the calling coroutine for \p d by runtime_clock.
 awaitable<void> sleepFor(duration d);
 
 } // namespace azurehill
--- a/test/io/deadline_guard_test.cpp
+++ b/test/io/deadline_guard_test.cpp
@@ -5,9 +5,9 @@
 using namespace azurehill;
 using namespace azurehill::test;
 
-// A stream starts a watch for every token. The timer of an earlier watch is left running, so it
-// fires in the middle of a later one: that must neither end the later operation early nor leave it
-// without a bound.
+// A stream starts a watch for every token. The timer of an earlier watch keeps running and fires
+// during a later one: this must neither expire the later watch early nor leave it without a
+// deadline.
 TEST_CASE("A deadline guard watches the operation that was started last")
 {
     const paused_clock clock;
@@ -20,7 +20,7 @@
             const time_point until = runtime_clock::now() + d;
             while (runtime_clock::now() < until) {
                 runtime_clock::advance(milliseconds(100));
-                // A timer that is due by now fires before this one.
+                // A timer that is already due fires before this one.
                 co_await sleepFor(duration(0));
             }
             co_await sleepFor(duration(0));
--- a/test/io/metrics_test.cpp
+++ b/test/io/metrics_test.cpp
@@ -46,8 +46,8 @@
     }
 }
 
-// Somebody's deployment has a tenant for every school, or names them by the day. The daemon's
-// memory must not grow with the names.
+// A deployment may have a tenant for every school, or tenant names that change daily. The daemon's
+// memory must not grow with the number of names.
 TEST_CASE("The number of series is bounded")
 {
     metrics m;
--- a/test/logic/log_story_test.cpp
+++ b/test/logic/log_story_test.cpp
@@ -96,15 +96,15 @@
 
     TEST_CASE("a reader that stands still costs lines, not requests")
     {
-        // All programs of a host stalled: the collector of its logs had stopped reading, and every
-        // thread waited to write its line.
+        // Guards against threads that block on a write to the log: all programs on a host stalled
+        // when its log collector had stopped reading.
         int ends[2];
         REQUIRE(::pipe(ends) == 0);
-        log_limits bounds;
-        bounds.maxPendingBytes = 64U << 10U;
-        bounds.maxInfoPerSecond = 1'000'000;
-        bounds.maxWarningsPerSecond = 1'000'000;
-        log_sink sink(ends[1], bounds);
+        log_limits limits;
+        limits.maxPendingBytes = 64U << 10U;
+        limits.maxInfoPerSecond = 1'000'000;
+        limits.maxWarningsPerSecond = 1'000'000;
+        log_sink sink(ends[1], limits);
         std::thread writer([&] { sink.run(); });
         const std::string line(1000, 'x');
         for (int i = 0; i < 2000; ++i)
@@ -136,10 +136,10 @@
 
     TEST_CASE("lines of one event are bounded, those of failures more generously")
     {
-        log_limits bounds;
-        bounds.maxInfoPerSecond = 10;
-        bounds.maxWarningsPerSecond = 50;
-        log_sink sink(STDERR_FILENO, bounds);
+        log_limits limits;
+        limits.maxInfoPerSecond = 10;
+        limits.maxWarningsPerSecond = 50;
+        log_sink sink(STDERR_FILENO, limits);
         int admitted = 0;
         const auto admitLines = [&](log_event event, int lines, std::int64_t nowMs) {
             admitted = 0;
