--- a/src/runtime/deadline_guard.cpp
+++ b/src/runtime/deadline_guard.cpp
@@ -6,14 +6,14 @@
 
 struct deadline_guard::state : std::enable_shared_from_this<state>
 {
-    explicit state(const asio::any_io_executor &executor) : clock(executor) { }
+    explicit state(const asio::any_io_executor &executor) : waitTimer(executor) { }
 
     void arm()
     {
         timerExpiry = deadline;
         armed = true;
-        clock.expires_at(deadline);
-        clock.async_wait(
+        waitTimer.expires_at(deadline);
+        waitTimer.async_wait(
             [s = shared_from_this(), wait = ++waitGeneration](boost::system::error_code code) {
                 if (!code && s->waitGeneration == wait)
                     s->onTimer();
@@ -34,12 +34,14 @@
         onExpiry();
     }
 
-    timer clock;
+    timer waitTimer;
     time_point deadline;
-    /// The time that the timer waits for, at or before the deadline while it watches.
+    /// Time for which the timer is set. While an operation is watched, it is not after the
+    /// deadline.
     time_point timerExpiry;
     std::function<void()> onExpiry;
-    /// Grows with every wait, so that one that was replaced does nothing any more.
+    /// Number of the latest wait. Handlers of earlier waits compare their own number with it and
+    /// return.
     unsigned waitGeneration = 0;
     bool watching = false;
     bool armed = false;
@@ -54,7 +56,7 @@
 {
     m_state->watching = false;
     ++m_state->waitGeneration;
-    m_state->clock.cancel();
+    m_state->waitTimer.cancel();
 }
 
 void deadline_guard::start(time_point until, std::function<void()> onExpiry)
@@ -63,8 +65,8 @@
     m_state->watching = true;
     m_state->deadline = until;
     m_state->onExpiry = std::move(onExpiry);
-    // A stream starts and finishes a watch for every token. A timer that is already set for an
-    // earlier time stays: when it fires it is set again for what is left.
+    // A stream starts and finishes a watch for every token, so the timer is not reset if it is
+    // already set for an earlier time: when it fires, it is set again for the new deadline.
     if (!m_state->armed || until < m_state->timerExpiry)
         m_state->arm();
 }
