--- a/src/entry/answer_relay.cpp
+++ b/src/entry/answer_relay.cpp
@@ -57,7 +57,7 @@
 awaitable<void> answer_relay::relayRest(entry_call_ptr call, open_reply &reply, std::string start,
                                         response_writer &writer)
 {
-    header_list headers = replyHeaders(reply.head);
+    header_list headers = clientReplyHeaders(reply.head);
     call->begun = true;
     bool open = co_await writer.begin(reply.head.status, std::move(headers));
     bool isWhole = false;
@@ -89,7 +89,7 @@
         co_await m_answers.giveUp(call, broken, writer);
         co_return;
     }
-    http_response response{reply.head.status, replyHeaders(reply.head), std::move(body)};
+    http_response response{reply.head.status, clientReplyHeaders(reply.head), std::move(body)};
     co_await writer.write(std::move(response));
 }
 
@@ -128,7 +128,7 @@
                                                 response_writer &writer)
 {
     stream_end result;
-    header_list headers = replyHeaders(reply.head);
+    header_list headers = clientReplyHeaders(reply.head);
     call->begun = true;
     call->lastEventId = call->request.lastEventId;
     result.isOpen = co_await writer.begin(reply.head.status, std::move(headers));
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -173,26 +173,26 @@
     std::vector<endpoint> &chosen
         = reaching.size() * enoughShare >= serving.size() ? reaching : serving;
     if (chosen.empty())
-        return encodeOwnAnswer(own_answer::Refused, "no daemon serves", failedPause);
+        return encodeLocalReply(own_answer::Refused, "no daemon serves", failedPause);
     // Others by chance each time: the first by name alone would get all new callers of a system of
     // more daemons than an answer holds, while everything else is divided among all.
     std::shuffle(chosen.begin(), chosen.end(), m_random);
     if (chosen.size() > maxAddresses)
         chosen.resize(maxAddresses);
-    return encodeAddresses(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
+    return encodeLookupReply(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
 }
 
 awaitable<void> entry_control::answer(const http_request &request, response_writer &writer)
 {
     http_response response;
-    if (isLookup(request.path())) {
+    if (isLookupPath(request.path())) {
         response = answerLookup();
-    } else if (isReadinessCheck(request.path())) {
+    } else if (isReadinessPath(request.path())) {
         const bool ready = m_membership.self().serving;
         response = ready ? jsonResponse(200, "{}")
-                         : encodeOwnAnswer(own_answer::Refused, "not ready", failedPause);
+                         : encodeLocalReply(own_answer::Refused, "not ready", failedPause);
     } else {
-        response = encodeOwnAnswer(own_answer::NoRoute, "", {});
+        response = encodeLocalReply(own_answer::NoRoute, "", {});
     }
     co_await writer.write(std::move(response));
 }
@@ -205,7 +205,7 @@
     else if (replica_follower::isChangesRequest(request))
         response = m_replicas.answerChanges(request);
     else
-        response = encodeOwnAnswer(own_answer::NoRoute, "", {});
+        response = encodeLocalReply(own_answer::NoRoute, "", {});
     co_await writer.write(std::move(response));
 }
 
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -79,7 +79,7 @@
     m_pacedStore.setRates(m_settings.storeWritesPerSecond, m_daemons);
     m_pacedStore.setMerging(m_settings.storeSpansParts
                             && m_settings.mechanisms.has(mechanism::MergedWrites));
-    spawn(m_executor, "watchOutages", m_store.watchOutages());
+    spawn(m_executor, "watchOutages", m_store.probeDuringOutages());
     spawn(m_executor, "sweep", sweep());
     spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
@@ -331,7 +331,8 @@
             co_return;
         }
         m_sender.finish(*call, *reply, send_outcome::Answered);
-        http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
+        http_response response{reply->head.status, clientReplyHeaders(reply->head),
+                               std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
     }
--- a/src/entry/own_answers.cpp
+++ b/src/entry/own_answers.cpp
@@ -32,7 +32,7 @@
          {"ms", toMilliseconds(runtime_clock::now() - call->arrivedAt)}});
     // What follows a colon are figures, which would make a series each.
     m_metrics.onAnswer(toName(answer), std::string_view(detail).substr(0, detail.find(':')));
-    http_response response = encodeOwnAnswer(answer, detail, retryAfter);
+    http_response response = encodeLocalReply(answer, detail, retryAfter);
     call->isOwnAnswer = true;
     co_await writer.write(std::move(response));
 }
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -183,7 +183,7 @@
     const forward_fields fields{where.replica.incarnation.id, call->deadline - now,
                                 call->rank.urgency,           !call->routes->accounts().empty(),
                                 call->accountName(),          call->lastEventId};
-    http_request out = encodeForward(original, fields, std::move(body));
+    http_request out = encodeUpstreamRequest(original, fields, std::move(body));
     logDecision(log_event::Sent,
                 {{"request", call->request.id},
                  {"program", call->request.program.value},
@@ -212,7 +212,7 @@
         co_return tl::unexpected(send_failure{end, head.error().detail});
     }
     call->lastByteAt = runtime_clock::now();
-    const reply_kind kind = judgeReply(*head, call->request.id);
+    const reply_kind kind = classifyReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
         // The time of a failure says nothing of how long answers take.
         if (head->status < leastFailure)
