--- a/test/io/platform_codec_test.cpp
+++ b/test/io/platform_codec_test.cpp
@@ -107,7 +107,7 @@
         CHECK((*book)->service("s1")->engine->tokensPerEvent == 2);
         CHECK((*book)->limits().headerBytes == 100);
         CHECK((*book)->limits().idleTime == seconds(15));
-        // What may be repeated is not known, so nothing is.
+        // Requests of an unknown route type are never retried.
         CHECK((*book)->find("h", "/b/x")->kind == route_kind::NonIdempotent);
         CHECK_FALSE(decodeConfiguration("{}"));
         CHECK_FALSE(decodeConfiguration("not json"));
@@ -118,7 +118,7 @@
         const auto row = [](const std::string &value, const std::string &key = "i-1") {
             return decodeReplica({{"servers", "", key}, value, 3, false});
         };
-        /// \returns a sound row with \p field set to the JSON text \p value, or left out if empty.
+        /// \returns a valid row with \p field set to the JSON text \p value, or omitted if empty.
         const auto with = [&](const std::string &field, const std::string &value) {
             std::map<std::string, std::string> fields{
                 {"service", R"("s")"},    {"address", R"("10.0.0.9:80")"}, {"zone", R"("z")"},
@@ -220,9 +220,9 @@
         }
         SUBCASE("numbers of tokens that make no sense are refused")
         {
-            // A turn that said it would generate -136 tokens at the most was given 136 more than
-            // its budget, and one of nine million million million passed every budget, as the sum
-            // ran over.
+            // Guards against two ways around a token budget: a maximum output of -136 tokens raised
+            // the budget by 136, and one of about 9e18 tokens overflowed the sum and passed every
+            // budget.
             for (const char *bad : {"-136", "9223372036854775807", "many", ""}) {
                 CHECK_FALSE(
                     decodeClientRequest(clientRequest({{"X-Azurehill-Token-Budget", bad}})));
@@ -269,7 +269,7 @@
               == reply_kind::Foreign);
         CHECK(classifyReply(head(503, {{"X-Azurehill-Not-Run", "1"}}), "r") == reply_kind::NotRun);
         CHECK(classifyReply(head(421, {}), "r") == reply_kind::WrongReplica);
-        // Without its word for it, a replica may have run what it answers with 503.
+        // Without the Not-Run header, a replica may have run a request that it answers with 503.
         CHECK(classifyReply(head(503, {id, stamp}), "r") == reply_kind::Answer);
     }
 
--- a/test/io/platform_store_test.cpp
+++ b/test/io/platform_store_test.cpp
@@ -24,7 +24,7 @@
     return t;
 }
 
-/// \brief A store's stand-in and a client of it.
+/// \brief A stand-in of the store and a client connected to it.
 struct store_client_fixture
 {
     store_client_fixture()
@@ -68,7 +68,7 @@
         return result;
     }
 
-    /// \brief The next call goes wrong in this way.
+    /// \brief Makes the stand-in apply \p trouble to the next call only.
     void injectOnce(store_trouble trouble)
     {
         once = trouble;
@@ -163,9 +163,9 @@
 
     TEST_CASE("a store at its limit is no outage, also for a daemon that was quiet before")
     {
-        // When all hosts had come back at once, the store refused calls beyond its rate. A daemon
-        // whose last answer was over half a second old took the first such refusals for an outage:
-        // it went through its peers, and refused turns without asking the store.
+        // When all hosts had come back at once, the store rate limited them. A daemon whose last
+        // answer was more than 0.5 s old reported an outage at the first rejections: it sent its
+        // calls through peers and refused turns without asking the store.
         const paused_clock pause;
         store_client_fixture w;
         const auto writeLimited = [&] {
@@ -196,8 +196,9 @@
 
     TEST_CASE("a watched store is asked by itself whether it is back")
     {
-        // Nobody called in the last seconds of an outage. The first program that came after it was
-        // refused all the same, since only a call could have shown that the store was back.
+        // Without probes, an outage ended only with a successful call. If no caller made one in the
+        // outage's last seconds, the first program after it was refused although the store was
+        // back.
         store_client_fixture w;
         spawn(w.context.get_executor(), "watchOutages", w.client.probeDuringOutages());
         w.standin.nextTrouble = [](std::string_view) { return store_trouble::Unavailable; };
@@ -224,10 +225,9 @@
 
     TEST_CASE("a call that was made before the last answer tells of no outage")
     {
-        // The store was back and had answered. Calls that its silence had swallowed ended one by
-        // one in the next 0.8 s, and the daemon took them for a new outage: it refused turns with
-        // `store_unavailable` after 0 ms and held back the ends of answers until their clients
-        // left.
+        // Calls sent during an outage timed out within 0.8 s after its end, and the daemon counted
+        // them as a new outage: it refused turns with `store_unavailable` after 0 ms and held back
+        // the ends of answers until their clients disconnected.
         store_client_fixture w;
         int calls = 0;
         int lostCalls = 0;
@@ -257,8 +257,9 @@
 
     TEST_CASE("a call that the store holds on purpose is no outage")
     {
-        // Every daemon told "store lost" twice a second on a calm day, and made half of its calls
-        // twice: a feed without changes was cut off and asked for again through a peer.
+        // The direct transport timed out long polls of a feed without changes and repeated them
+        // through a peer. Every daemon logged "store lost" twice a second and made half of its
+        // calls twice.
         store_client_fixture w;
         REQUIRE(w.write("a", "x", 0));
         w.transport->setPeers({{"127.0.0.1", 1}});
@@ -271,8 +272,8 @@
 
     TEST_CASE("a host that the store turns away goes through a peer")
     {
-        // Lessons stalled on two of nine hosts for nine seconds: the store answered them 503 and
-        // served the others, which could have made the calls for them.
+        // The store answered two of nine hosts with 503 and served the others. Programs on the two
+        // stalled for nine seconds, although the other hosts could have relayed their calls.
         store_client_fixture w;
         row_store &rows = w.rows;
         store_standin peerStandin(w.context.get_executor(), rows);
@@ -294,9 +295,9 @@
 
         SUBCASE("a call that the store holds on purpose is no outage for the peer")
         {
-            // While two hosts were turned away, every other host told "store lost" in turn and left
-            // the look-ups: it gave up the feeds that it asked for on their behalf after a second,
-            // and took that for its own loss of the store.
+            // While the store rejected two hosts, each other host in turn logged "store lost" and
+            // left the look-ups: it timed out the long polls that it relayed for the two after a
+            // second and counted that as its own loss of the store.
             const paused_clock pause;
             store_result<row_page> quiet;
             auto go = [&]() -> awaitable<void> {
@@ -320,8 +321,9 @@
 
         SUBCASE("a write that may have been done is not called refused when the peer fails too")
         {
-            // The direct call's answer is lost, and the peer answers 503: "nothing was done" would
-            // be false, and a turn would be said not to have run that is charged already.
+            // The direct call is applied but its answer is lost, and the peer answers 503.
+            // Reporting the write as not done would report a turn as not run that is already
+            // charged.
             CHECK(w.transport->isDirectWorking() == false);
             const auto wait = w.client.isReachable();
             CHECK(wait);
--- a/test/io/settings_test.cpp
+++ b/test/io/settings_test.cpp
@@ -11,7 +11,7 @@
 
 const std::string digest(64, 'a');
 
-/// \brief Reads \p extra after the flags that must be given.
+/// \brief Parses the required flags followed by \p extra.
 command_line readWithRequired(std::vector<std::string> extra)
 {
     std::vector<std::string> all = {
@@ -32,7 +32,7 @@
     });
 }
 
-/// \brief Sets a variable for the length of a test.
+/// \brief Sets an environment variable for the duration of a scope.
 struct variable
 {
     variable(const char *n, const char *value) : name(n) { setenv(n, value, 1); }
