--- a/test/io/decoder_fuzz_test.cpp
+++ b/test/io/decoder_fuzz_test.cpp
@@ -300,8 +300,8 @@
                 return;
             RC_ASSERT(!decoded->patience || *decoded->patience >= duration::zero());
             RC_ASSERT(!decoded->tokenBudget || *decoded->tokenBudget >= 0);
-            RC_ASSERT(!decoded->tokens || decoded->tokens->mostOutput >= 0);
-            const forward_fields fields{{"i-1"}, seconds(1), 5, true, {"a"}, "4"};
+            RC_ASSERT(!decoded->tokens || decoded->tokens->maxOutputTokens >= 0);
+            const forward_headers fields{{"i-1"}, seconds(1), 5, true, {"a"}, "4"};
             const http_request out = encodeUpstreamRequest(request, fields, "body");
             RC_ASSERT(out.headers.get("X-Azurehill-Expect-Instance") == "i-1");
             RC_ASSERT(out.headers.get("X-Azurehill-Tenant") == "a");
--- a/test/io/platform_codec_test.cpp
+++ b/test/io/platform_codec_test.cpp
@@ -202,9 +202,9 @@
                            {"Cookie", "a=b; X-Azurehill-Affinity-Key=17; c=d"}}));
         REQUIRE(r);
         CHECK(r->patience == seconds(6));
-        CHECK(r->programFinish == milliseconds(-20));
+        CHECK(r->programTimeLeft == milliseconds(-20));
         CHECK(r->tokenBudget == 1088);
-        CHECK(r->tokens->mostOutput == 136);
+        CHECK(r->tokens->maxOutputTokens == 136);
         REQUIRE(r->promptParts.size() == 2);
         CHECK(r->promptParts[1].id == "91bd");
         CHECK(r->promptParts[1].tokens == 410);
@@ -238,7 +238,7 @@
                                {"X-Azurehill-Finish-Ms", "-9223372036854775807"}}));
             REQUIRE(odd);
             CHECK(odd->patience == std::chrono::hours(24));
-            CHECK(odd->programFinish == -std::chrono::hours(24));
+            CHECK(odd->programTimeLeft == -std::chrono::hours(24));
         }
         SUBCASE("no header text makes it fail otherwise than with an error")
         {
