--- a/src/explain/log_story.cpp
+++ b/src/explain/log_story.cpp
@@ -123,7 +123,7 @@
                                 request);
     }
     if (logDropped)
-        text += "missing: a daemon of the timeline dropped log lines in this period\n";
+        text += "missing: a daemon of the story dropped log lines in this time\n";
     return text;
 }
 
