--- a/src/accounts/account_book.cpp
+++ b/src/accounts/account_registry.cpp
@@ -1,4 +1,4 @@
-#include "accounts/account_book.h"
+#include "accounts/account_registry.h"
 
 #include <fmt/format.h>
 
@@ -18,36 +18,36 @@
 
 } // namespace
 
-tl::expected<account_book, std::string> account_book::make(std::vector<account_rule> rules)
+tl::expected<account_registry, std::string> account_registry::make(std::vector<account_config> accounts)
 {
-    account_book book;
-    for (account_rule &rule : rules) {
-        const account_id name = rule.name;
+    account_registry registry;
+    for (account_config &account : accounts) {
+        const account_id name = account.name;
         if (name.empty() || name.value.size() > maxNameLength || !isHeaderText(name.value))
             return tl::unexpected(std::string("the name of an account can't be sent in a header"));
-        for (const key_digest &key : rule.keys) {
-            const auto [holder, isNew] = book.m_holders.try_emplace(key, name);
+        for (const key_digest &key : account.keys) {
+            const auto [holder, isNew] = registry.m_namesByKey.try_emplace(key, name);
             if (!isNew && holder->second != name)
                 return tl::unexpected(fmt::format("accounts {} and {} hold the same key",
                                                   holder->second.value, name.value));
         }
-        const bool isNew = book.m_rules.emplace(name, std::move(rule)).second;
+        const bool isNew = registry.m_configs.emplace(name, std::move(account)).second;
         if (!isNew)
             return tl::unexpected(fmt::format("account {} is there twice", name.value));
     }
-    return book;
+    return registry;
 }
 
-const account_rule *account_book::holder(const key_digest &digest) const
+const account_config *account_registry::findByKey(const key_digest &digest) const
 {
-    const auto found = m_holders.find(digest);
-    return found == m_holders.end() ? nullptr : find(found->second);
+    const auto found = m_namesByKey.find(digest);
+    return found == m_namesByKey.end() ? nullptr : find(found->second);
 }
 
-const account_rule *account_book::find(const account_id &name) const
+const account_config *account_registry::find(const account_id &name) const
 {
-    const auto found = m_rules.find(name);
-    return found == m_rules.end() ? nullptr : &found->second;
+    const auto found = m_configs.find(name);
+    return found == m_configs.end() ? nullptr : &found->second;
 }
 
 } // namespace azurehill
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -193,7 +193,7 @@
     if (decoded && m_routes)
         call->route = m_routes->find(call->request.hostname, call->path);
     if (call->route)
-        allowed = judgeAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
+        allowed = checkAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
     if (!decoded) {
         detail = std::move(decoded.error());
     } else if (!m_routes) {
@@ -255,7 +255,7 @@
     if (!call->account || !call->account->quota)
         co_return true;
     const bool isBegin = call->route->keepsHistory && call->request.previousTurn.empty();
-    const credit_use use = isBegin ? credit_use::Begin : credit_use::GoOn;
+    const credit_use use = isBegin ? credit_use::Begin : credit_use::Continue;
     account_id account = call->accountName();
     const time_point began = runtime_clock::now();
     const auto share
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -91,7 +91,7 @@
     const route_rule *const route = m_routes->find(call.request.hostname, call.path);
     if (!route)
         return false;
-    const access now = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
+    const access now = checkAccess(m_routes->accounts(), route->isPublic, call.request.key);
     const account_id holder = now.account ? now.account->name : account_id();
     return now.verdict == access_verdict::Allowed && holder == call.accountName();
 }
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -36,7 +36,7 @@
 {
     m_routes = std::move(routes);
     m_hasQuotas.fill(false);
-    for (const auto &[name, rule] : m_routes->accounts().rules()) {
+    for (const auto &[name, rule] : m_routes->accounts().configs()) {
         if (rule.quota)
             m_hasQuotas.at(shardOf(name)) = true;
     }
@@ -53,19 +53,19 @@
     if (found != m_shards.end())
         return found->second;
     const member_state &self = m_view.self();
-    return m_shards.emplace(shard, shard_state(quota_book(self.name, self.incarnation, m_bound)))
+    return m_shards.emplace(shard, shard_state(quota_shard_state(self.name, self.incarnation, m_bound)))
         .first->second;
 }
 
 std::optional<quota_message> credit_lender::answer(const credit_request &request)
 {
     const std::uint64_t number = request.id.number;
-    const account_rule *const rule
+    const account_config *const account
         = m_routes ? m_routes->accounts().find(request.account) : nullptr;
     // The borrower may have a newer configuration than this daemon.
-    if (!rule || m_isReleased)
+    if (!account || m_isReleased)
         return std::nullopt;
-    if (!rule->quota)
+    if (!account->quota)
         return credit_lent{number};
     const std::size_t shard = shardOf(request.account);
     shard_state &state = stateOf(shard);
@@ -81,7 +81,7 @@
             return not_holder{number, preferred};
         return std::nullopt;
     }
-    const int quotaLimit = mostCredits(*rule->quota, m_bound);
+    const int quotaLimit = maxCreditsPerWindow(*account->quota, m_bound);
     const lend_result result
         = state.book.lend(request.account, request.id, request.use, quotaLimit, now);
     switch (result.verdict) {
@@ -89,7 +89,7 @@
         return credit_lent{number};
     case lend_verdict::OverQuota:
         return credit_denied{number, result.retryAfter};
-    case lend_verdict::LevelTooLow:
+    case lend_verdict::ReservationTooSmall:
         break;
     }
     acquireOrRenew(shard);
@@ -100,7 +100,7 @@
 {
     const auto found = m_shards.find(shardOf(message.account));
     if (found != m_shards.end())
-        found->second.book.giveBack(message.account, message.id);
+        found->second.book.restoreCredit(message.account, message.id);
 }
 
 awaitable<void> credit_lender::maintain()
@@ -109,7 +109,7 @@
         co_await sleepFor(maintenanceInterval);
         const time_point now = runtime_clock::now();
         const bool isReady = m_routes && !m_view.self().name.empty() && !m_isReleased;
-        for (std::size_t shard = 0; isReady && shard < quotaShards; ++shard) {
+        for (std::size_t shard = 0; isReady && shard < quotaShardCount; ++shard) {
             if (hasQuotas(shard))
                 maintainShard(shard, now);
         }
@@ -141,7 +141,7 @@
 daemon_id credit_lender::holderOf(const shard_state &state) const
 {
     const bool isHeld
-        = state.foreignRow && m_view.stateOf(*state.foreignRow) == holder_state::Lives;
+        = state.foreignRow && m_view.stateOf(*state.foreignRow) == holder_state::Alive;
     return isHeld ? state.foreignRow->holder : daemon_id();
 }
 
@@ -180,7 +180,7 @@
         state.version = *version;
         state.foreignRow.reset();
         state.writtenAt = sentAt;
-        state.book.onWritten(row, sentAt);
+        state.book.onRowWritten(row, sentAt);
         again = false;
         if (!wasHeld)
             logDecision(log_event::QuotaHeld,
@@ -197,7 +197,7 @@
     if (found)
         return onConflictingRow(shard, state, *found);
     state.version = 0;
-    state.book.takeOver(std::nullopt, holder_state::Ended, runtime_clock::now());
+    state.book.takeOver(std::nullopt, holder_state::NoLongerLending, runtime_clock::now());
     return true;
 }
 
@@ -217,13 +217,13 @@
         return true;
     }
     const holder_state holderState = m_view.stateOf(*row);
-    const bool isAbandoned = holderState == holder_state::Ended
-        || (holderState == holder_state::Silent && m_view.isSettled(now));
+    const bool isAbandoned = holderState == holder_state::NoLongerLending
+        || (holderState == holder_state::Unreachable && m_view.isSettled(now));
     if (!isAbandoned) {
         if (state.book.isHeld())
             logDecision(log_event::QuotaLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
-        state.book.onLost();
+        state.book.onRowLost();
         // Not the row's version, so that the next attempt conflicts and examines the row again.
         state.version = 0;
         state.foreignRow = *row;
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -14,7 +14,7 @@
 enum class message_kind { Request, Lent, Denied, NotHolder, Return };
 
 /// Longest time to come back that a datagram may tell.
-constexpr std::int64_t mostRetryMs = 60'000;
+constexpr std::int64_t maxRetryAfterMs = 60'000;
 
 json::array start(message_kind kind)
 {
@@ -79,30 +79,30 @@
     return a.at(place).to_number<std::uint64_t>();
 }
 
-credit_id idIn(const json::array &a)
+credit_id parseCreditId(const json::array &a)
 {
     return {{textAt(a, 2)}, a.at(3).to_number<std::int64_t>(), numberAt(a, 1)};
 }
 
-quota_message messageIn(const json::array &a)
+quota_message parseMessage(const json::array &a)
 {
     switch (static_cast<message_kind>(a.at(0).to_number<int>())) {
     case message_kind::Request: {
         const int use = a.at(5).to_number<int>();
         return credit_request{
-            idIn(a), {textAt(a, 4)}, use == 0 ? credit_use::Begin : credit_use::GoOn};
+            parseCreditId(a), {textAt(a, 4)}, use == 0 ? credit_use::Begin : credit_use::Continue};
     }
     case message_kind::Lent:
         return credit_lent{numberAt(a, 1)};
     case message_kind::Denied: {
         const auto ms = a.at(2).to_number<std::int64_t>();
         return credit_denied{numberAt(a, 1),
-                             milliseconds(std::clamp<std::int64_t>(ms, 0, mostRetryMs))};
+                             milliseconds(std::clamp<std::int64_t>(ms, 0, maxRetryAfterMs))};
     }
     case message_kind::NotHolder:
         return not_holder{numberAt(a, 1), {textAt(a, 2)}};
     case message_kind::Return:
-        return credit_return{idIn(a), {textAt(a, 4)}};
+        return credit_return{parseCreditId(a), {textAt(a, 4)}};
     }
     throw std::invalid_argument("kind of message");
 }
@@ -118,7 +118,7 @@
 {
     try {
         const json::value document = json::parse(text);
-        return messageIn(document.as_array());
+        return parseMessage(document.as_array());
     } catch (const std::exception &) {
         // The caller logs the sender.
         return std::nullopt;
--- a/src/quota/quota_shards.cpp
+++ b/src/quota/quota_shards.cpp
@@ -12,7 +12,7 @@
 
 std::size_t shardOf(const account_id &account)
 {
-    return stableHash(account.value) % quotaShards;
+    return stableHash(account.value) % quotaShardCount;
 }
 
 row_name quotaRowName(std::size_t shard)
@@ -26,10 +26,10 @@
 {
     daemon_id best;
     std::uint64_t highest = 0;
-    for (const daemon_id &one : daemons) {
-        const std::uint64_t weight = stableHash(one.value, shard + 1);
-        if (best.empty() || weight > highest || (weight == highest && one < best)) {
-            best = one;
+    for (const daemon_id &daemon : daemons) {
+        const std::uint64_t weight = stableHash(daemon.value, shard + 1);
+        if (best.empty() || weight > highest || (weight == highest && daemon < best)) {
+            best = daemon;
             highest = weight;
         }
     }
--- a/test/io/account_access_test.cpp
+++ b/test/io/account_access_test.cpp
@@ -14,14 +14,14 @@
     std::vector<route_rule> routes = entry_world::makeRoutes()->routes();
     routes.push_back(entry_world::rule("/open/", route_kind::Idempotent, "tools"));
     routes.back().isPublic = true;
-    std::vector<account_rule> rules(2);
+    std::vector<account_config> rules(2);
     rules[0].name = {"first"};
     rules[0].keys = {digestOf(keyOfFirst)};
     rules[0].priority = 1;
     rules[0].quota = quota;
     rules[1].name = {"second"};
     rules[1].keys = {digestOf("k2")};
-    auto book = account_book::make(std::move(rules));
+    auto book = account_registry::make(std::move(rules));
     return std::make_shared<route_book>(version, routes, entry_world::makeRoutes()->services(),
                                         client_limits(), std::move(*book));
 }
@@ -173,7 +173,7 @@
         self.serving = true;
         self.storeReachable = true;
         w.service->setMembers(self, {});
-        const int most = mostCredits({1, 1}, w.settings.quota);
+        const int most = maxCreditsPerWindow({1, 1}, w.settings.quota);
         int served = 0;
         std::string last;
         for (int i = 0; i < most + 5; ++i) {
