--- a/src/accounts/access.cpp
+++ b/src/accounts/access.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// \brief Judges each kind of credential where accounts are in force.
+/// \brief Visitor that maps each kind of credential to the access that it grants. The registry is
+/// not empty.
 struct access_checker
 {
     const account_registry &accounts;
--- a/src/accounts/access.h
+++ b/src/accounts/access.h
@@ -6,24 +6,24 @@
 
 namespace azurehill {
 
-/// \brief The request carries no key.
+/// \brief The request carries no API key.
 struct no_credential
 { };
 
-/// \brief The request's key can't be read, or it carries several.
+/// \brief The request carries a malformed API key, or more than one.
 struct invalid_credential
 { };
 
-/// \brief How a request says which account it belongs to.
+/// \brief The credential that a request presents: none, an unusable one, or the digest of its key.
 using credential = std::variant<no_credential, invalid_credential, key_digest>;
 
-/// \brief What the configuration lets a request do.
+/// \brief Result of the authentication of a request.
 enum class access_verdict {
-    /// It goes on as its account's, or as nobody's.
+    /// The request is accepted, on behalf of its account or of none.
     Allowed,
-    /// Its route asks for a key, and it has none that can be read.
+    /// The route requires a key, and the request has no well-formed one; or its key is malformed.
     NoKey,
-    /// No account holds its key.
+    /// The key belongs to no account.
     UnknownKey,
 };
 
@@ -33,17 +33,18 @@
     static constexpr std::array<std::string_view, 3> names = {"allowed", "no_key", "unknown_key"};
 };
 
-/// \brief A verdict with the account that it is about.
+/// \brief An access verdict with the account that was authenticated.
 struct access
 {
     access_verdict verdict = access_verdict::Allowed;
-    /// The account that holds the request's key, or null.
+    /// The account that the request's key belongs to, or null.
     const account_config *account = nullptr;
 };
 
-/// \brief Judges a request before anything is read, held or sent for it.
-/// \param accounts those of the configuration in force.
-/// \param isPublic whether the request's route asks for no key.
+/// \brief Authenticates a request. This comes before its body is read, resources are reserved or
+/// anything is sent upstream for it.
+/// \param accounts accounts of the active configuration.
+/// \param isPublic whether the request's route requires no key.
 /// \param said what the request carries.
 access checkAccess(const account_registry &accounts, bool isPublic, const credential &presented);
 
--- a/src/accounts/account_config.h
+++ b/src/accounts/account_config.h
@@ -11,25 +11,27 @@
 
 using account_id = basic_id<struct account_tag>;
 
-/// \brief How many requests an account may have run, by all daemons together.
+/// \brief Request rate limit of an account, over all daemons together: a sustained rate and a
+/// burst.
 struct request_quota
 {
-    /// Requests a second that are let through without an end.
+    /// Sustained rate in requests per second.
     double perSecond = 0;
-    /// Requests that may come at once beyond that.
+    /// Requests that are admitted at once beyond the sustained rate.
     double burst = 0;
 
     friend bool operator==(const request_quota &, const request_quota &) = default;
 };
 
-/// \brief What the configuration says of a client account.
+/// \brief Configuration of a client account.
 struct account_config
 {
     account_id name;
     std::vector<key_digest> keys;
-    /// Rank of the account's requests, 0 first; it goes before the route's.
+    /// Priority of the account's requests, 0 is the highest. Requests are ordered by it first, then
+    /// by the priority of their route.
     int priority = 0;
-    /// Nothing if the account has no limit.
+    /// Empty if the account has no request limit.
     std::optional<request_quota> quota;
 };
 
--- a/src/accounts/account_registry.cpp
+++ b/src/accounts/account_registry.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::size_t maxNameLength = 64;
 
-/// \returns whether a header field can carry \p name unchanged.
+/// \returns whether \p name consists of visible ASCII only, so that a header field carries it
+/// unchanged.
 bool isHeaderText(const std::string &name)
 {
     return std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c <= '~'; });
@@ -18,13 +19,15 @@
 
 } // namespace
 
-tl::expected<account_registry, std::string> account_registry::make(std::vector<account_config> accounts)
+tl::expected<account_registry, std::string>
+account_registry::make(std::vector<account_config> accounts)
 {
     account_registry registry;
     for (account_config &account : accounts) {
         const account_id name = account.name;
         if (name.empty() || name.value.size() > maxNameLength || !isHeaderText(name.value))
-            return tl::unexpected(std::string("the name of an account can't be sent in a header"));
+            return tl::unexpected(std::string("an account name is empty, too long or not printable "
+                                              "ASCII, so a header can't carry it"));
         for (const key_digest &key : account.keys) {
             const auto [holder, isNew] = registry.m_namesByKey.try_emplace(key, name);
             if (!isNew && holder->second != name)
--- a/src/accounts/account_registry.h
+++ b/src/accounts/account_registry.h
@@ -10,24 +10,26 @@
 
 namespace azurehill {
 
-/// \brief The client accounts of one version of the configuration. It never changes once made.
+/// \brief Immutable registry of the client accounts of one configuration version, indexed by name
+/// and by API key digest.
 class account_registry
 {
 public:
-    /// \brief A book without accounts: requests need no key.
+    /// \brief A registry without accounts: requests need no key.
     account_registry() = default;
 
-    /// \returns the book of \p rules, or why they can't be in force together: an account has no
-    /// name or one that no header can carry, or two accounts hold one key.
+    /// \returns the registry of \p accounts, or the reason why they are invalid together: an
+    /// account has no name, has a name that a header can't carry or shares its name with another
+    /// account, or two accounts share a key.
     static tl::expected<account_registry, std::string> make(std::vector<account_config> accounts);
 
-    /// \returns whether there are no accounts, so that requests need no key.
+    /// \returns whether there are no accounts. Requests then need no key.
     bool empty() const { return m_configs.empty(); }
-    /// \returns the account that holds the key with \p digest, or null.
+    /// \returns the account that the key with \p digest belongs to, or null.
     const account_config *findByKey(const key_digest &digest) const;
-    /// \returns the account called \p name, or null.
+    /// \returns the account with the given \p name, or null.
     const account_config *find(const account_id &name) const;
-    /// \returns all accounts by name.
+    /// \returns all accounts, in order of their names.
     const std::map<account_id, account_config> &configs() const { return m_configs; }
 
 private:
--- a/src/accounts/accounts.h
+++ b/src/accounts/accounts.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Client accounts: who a request's key belongs to, and what it may do.
+/// \brief Client accounts: their configuration, and authentication of requests by API key.
 
 #include "accounts/access.h"
 #include "accounts/account_config.h"
--- a/src/accounts/api_key.cpp
+++ b/src/accounts/api_key.cpp
@@ -19,7 +19,7 @@
     constexpr std::string_view scheme = "bearer";
     if (authorization.size() <= scheme.size() || authorization[scheme.size()] != ' ')
         return std::nullopt;
-    // Names of schemes have any case.
+    // Scheme names are case-insensitive.
     const bool isBearer = std::equal(
         scheme.begin(), scheme.end(), authorization.begin(), [](char wanted, char said) {
             return wanted == std::tolower(static_cast<unsigned char>(said));
--- a/src/accounts/api_key.h
+++ b/src/accounts/api_key.h
@@ -8,7 +8,7 @@
 
 namespace azurehill {
 
-/// \brief SHA-256 of an API key. The key itself is kept nowhere.
+/// \brief SHA-256 digest of an API key. The key itself is never stored.
 struct key_digest
 {
     std::array<unsigned char, 32> bytes{};
@@ -16,11 +16,10 @@
     friend bool operator==(const key_digest &, const key_digest &) = default;
 };
 
-/// \returns the digest of \p key.
 key_digest digestOf(std::string_view key);
 
-/// \returns the key in \p authorization, the value of an HTTP header field of the scheme "Bearer",
-/// or nothing if it has another scheme or no key.
+/// \returns the key in \p authorization, the value of an HTTP Authorization header, or nothing if
+/// its scheme is not "Bearer" or it has no key.
 std::optional<std::string_view> bearerKey(std::string_view authorization);
 
 } // namespace azurehill
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -36,8 +36,8 @@
 {
     m_routes = std::move(routes);
     m_hasQuotas.fill(false);
-    for (const auto &[name, rule] : m_routes->accounts().configs()) {
-        if (rule.quota)
+    for (const auto &[name, account] : m_routes->accounts().configs()) {
+        if (account.quota)
             m_hasQuotas.at(shardOf(name)) = true;
     }
 }
@@ -53,7 +53,8 @@
     if (found != m_shards.end())
         return found->second;
     const member_state &self = m_view.self();
-    return m_shards.emplace(shard, shard_state(quota_shard_state(self.name, self.incarnation, m_bound)))
+    return m_shards
+        .emplace(shard, shard_state(quota_shard_state(self.name, self.incarnation, m_bound)))
         .first->second;
 }
 
--- a/src/quota/credit_ledger.cpp
+++ b/src/quota/credit_ledger.cpp
@@ -7,18 +7,20 @@
 
 namespace {
 
-/// Part of the credits that programs that begin may use; the rest is for those under way.
+/// Fraction of the credits that is available to the first turns of programs. The rest is kept
+/// for running programs.
 constexpr double beginFraction = 0.9;
-/// What is taken for a program's requests before any is known, and how many programs that weighs.
+/// Prior of the estimate of requests per program: the assumed mean, and its weight in programs.
 constexpr double priorRequests = 6;
 constexpr double priorPrograms = 1;
-/// After this long what was learned weighs a third.
+/// Time constant of the exponential decay of the estimate: a sample of this age weighs 1/e, about a
+/// third.
 constexpr duration memory = seconds(20);
-/// Part of the bound that is the least level, so that a few requests need no write.
+/// Minimum reservation as a fraction of the quota limit, so that a few requests need no write.
 constexpr double minReservationFraction = 0.25;
-/// Room that a level leaves above what is lent.
+/// Ratio of the reservation to the credits that are lent.
 constexpr double reservationHeadroom = 1.5;
-/// Factor by which a level that was too low grows.
+/// Factor by which a reservation that was too small grows.
 constexpr int reservationGrowthFactor = 2;
 
 } // namespace
@@ -26,8 +28,9 @@
 void credit_ledger::expire(time_point now)
 {
     while (!m_grants.empty() && m_grants.front().at + m_span < now) {
-        // Counted this late, since programs make most of their requests after they began: in a
-        // rush of new ones all would seem to make a single request.
+        // Grants enter the estimate only when they expire, because programs make most of their
+        // requests after their first turn: during a burst of new programs, each would otherwise
+        // seem to make a single request.
         updateRequestEstimate(m_grants.front());
         m_grantIds.erase(m_grants.front().id);
         m_grants.pop_front();
@@ -78,7 +81,7 @@
 }
 
 duration credit_ledger::timeUntilExpired(int count, std::optional<credit_use> use,
-                                      time_point now) const
+                                         time_point now) const
 {
     int seen = 0;
     for (const grant &g : m_grants) {
@@ -90,7 +93,8 @@
     return m_span;
 }
 
-std::optional<duration> credit_ledger::admissionDelay(credit_use use, int quotaLimit, time_point now)
+std::optional<duration> credit_ledger::admissionDelay(credit_use use, int quotaLimit,
+                                                      time_point now)
 {
     const int all = lendableCredits(quotaLimit, now);
     const int used = static_cast<int>(m_grants.size());
@@ -133,10 +137,11 @@
     const int used = lentCredits(now);
     const int all = lendableCredits(quotaLimit, now);
     const int minReservation = static_cast<int>(std::ceil(minReservationFraction * quotaLimit));
-    int target = std::max(minReservation, static_cast<int>(std::ceil(reservationHeadroom * used)) + 1);
+    int target
+        = std::max(minReservation, static_cast<int>(std::ceil(reservationHeadroom * used)) + 1);
     if (isReservationTooSmall)
         target = std::max(target, reservationGrowthFactor * m_reservedCredits);
-    // Below what is lent the store would not know of all of it.
+    // The reservation in the store must cover all credits that are lent.
     return std::max(std::min(target, all), used);
 }
 
--- a/src/quota/credit_ledger.h
+++ b/src/quota/credit_ledger.h
@@ -15,7 +15,7 @@
 enum class credit_use {
     /// The first turn of a program.
     Begin,
-    /// Anything else: refusing it would waste what its program has used already.
+    /// Any other request. Rejecting it would waste the work of the program's earlier turns.
     Continue,
 };
 
@@ -25,7 +25,8 @@
     static constexpr std::array<std::string_view, 2> names = {"begin", "go_on"};
 };
 
-/// \brief Names one request for a credit: the daemon's run that asks, and its number there.
+/// \brief Identifies a credit request: the daemon that borrows, its incarnation, and the sequence
+/// number of the request within that incarnation.
 struct credit_id
 {
     daemon_id borrower;
@@ -37,62 +38,67 @@
 
 enum class lend_verdict {
     Lent,
-    /// The account has used up its quota.
+    /// The account's quota is exhausted.
     OverQuota,
-    /// The quota has room, and more than the store knows of would be lent.
+    /// The quota has credits left, but lending one would exceed the reservation in the store.
     ReservationTooSmall,
 };
 
-/// \brief An answer to a request for a credit.
+/// \brief Result of a credit request.
 struct lend_result
 {
     lend_verdict verdict = lend_verdict::Lent;
-    /// When a credit is there again; for OverQuota only.
+    /// Time until a credit becomes available. Set for OverQuota only.
     duration retryAfter = duration::zero();
 };
 
-/// \brief Credits that another daemon may still lend, or that a dead one has lent.
+/// \brief Upper bound of the credits that another daemon, live or dead, has lent or may still lend,
+/// and the time until which they count against the quota.
 struct peer_credits
 {
     int credits = 0;
     time_point until;
 };
 
-/// \brief Lends the credits of one account, one for each request.
+/// \brief Sliding-window rate limiter of one account. It lends one credit for each request.
 ///
-/// A credit is used within \c creditLifetime of the request for it, or never. So if no span of the
-/// window and \c creditLifetime has more credits lent in it than the bound, no window has more used
-/// in it.
+/// A credit is used within \c creditLifetime after it was requested, or never. So if no period of
+/// length window + \c creditLifetime contains more lent credits than the limit, no window contains
+/// more used ones.
 ///
-/// Programs are let in so that those under way find credits: a refused fifth turn wastes four. How
-/// many requests a program makes is learned from those that were let in before.
+/// New programs are admitted only as far as the running ones will still get credits: rejecting the
+/// fifth turn of a program wastes the four before it. The mean number of requests per program is
+/// estimated from the programs that were admitted before.
 class credit_ledger
 {
 public:
-    /// Time from the request for a credit to its use.
+    /// Maximum time between the request for a credit and its use.
     static constexpr duration creditLifetime = milliseconds(250);
 
-    /// \param window span of the bound.
+    /// \param window length of the sliding window for which the limit holds.
     explicit credit_ledger(duration window) : m_span(window + creditLifetime) { }
 
-    /// \brief Lends a credit to \p id. Asked again for the same id, it gives the same answer.
-    /// \param most credits that all daemons may lend in a window.
+    /// \brief Lends a credit to \p id. A repeated request for an id that holds a credit succeeds
+    /// without using another one.
+    /// \param quotaLimit maximum number of credits that all daemons together may lend in a window.
     lend_result lend(const credit_id &id, credit_use use, int quotaLimit, time_point now);
-    /// \brief Takes back a credit that was not used and never will be.
+    /// \brief Makes the credit of \p id available again. It must not have been used and must never
+    /// be used.
     void restoreCredit(const credit_id &id);
 
-    /// \returns the credits that may be lent in a window by what the store knows.
+    /// \returns the number of credits that may be lent in a window under the reservation that the
+    /// store holds.
     int reservedCredits() const { return m_reservedCredits; }
     void setReservedCredits(int level) { m_reservedCredits = level; }
-    /// \returns the level that fits what is lent now: never less than that, with room to grow.
-    /// \param isReservationTooSmall whether the present level was too low for a request.
+    /// \returns the reservation for the current demand: the credits lent now, plus headroom.
+    /// \param isReservationTooSmall whether a request exceeded the current reservation.
     int targetReservation(int quotaLimit, bool isReservationTooSmall, time_point now);
 
-    /// \brief Another daemon may lend \p share, or has lent it.
+    /// \brief Counts \p share of another daemon against the quota.
     void addPeerCredits(const peer_credits &share) { m_peerCredits.push_back(share); }
-    /// \returns what others may have lent and may still lend.
+    /// \returns the credits of other daemons that count against the quota at \p now.
     const std::vector<peer_credits> &peerCredits(time_point now);
-    /// \returns the credits lent in the span that ends now.
+    /// \returns the number of credits lent in the last window + \c creditLifetime.
     int lentCredits(time_point now);
 
 private:
@@ -104,11 +110,12 @@
     };
 
     void expire(time_point now);
-    /// \returns what this daemon may lend in a window, by the bound and by what others may lend.
+    /// \returns the number of credits that this daemon may lend in a window: the limit less the
+    /// credits of other daemons.
     int lendableCredits(int quotaLimit, time_point now);
-    /// \returns the time until \p count of the grants for \p use, or of all, count no more.
+    /// \returns the time until the oldest \p count grants for \p use, or for any use, have expired.
     duration timeUntilExpired(int count, std::optional<credit_use> use, time_point now) const;
-    /// \returns the time until the quota has room for \p use, or nothing if it has room now.
+    /// \returns the time until a request for \p use is admissible, or nothing if it is so now.
     std::optional<duration> admissionDelay(credit_use use, int quotaLimit, time_point now);
     double requestsPerProgram() const;
     void updateRequestEstimate(const grant &g);
@@ -116,11 +123,11 @@
 
     duration m_span;
     int m_reservedCredits = 0;
-    /// In order of time.
+    /// In chronological order.
     std::deque<grant> m_grants;
     std::set<credit_id> m_grantIds;
     std::vector<peer_credits> m_peerCredits;
-    /// Requests and programs that were let in, each weighing less as time goes by.
+    /// Admitted requests and programs, with exponentially decaying weights.
     double m_requests = 0;
     double m_programs = 0;
     time_point m_estimateUpdatedAt;
--- a/src/quota/quota.h
+++ b/src/quota/quota.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// \file
-/// \brief Request quotas of client accounts over all daemons: who lends credits, how many, and what
-/// the store has to know of it. docs/design/quotas.md gives the reasons.
+/// \brief Distributed rate limiting of client accounts over all daemons: which daemon lends
+/// credits, how many, and what it has to record in the store. docs/design/quotas.md explains the
+/// design.
 
 #include "quota/credit_ledger.h"
 #include "quota/quota_bound.h"
--- a/src/quota/quota_bound.h
+++ b/src/quota/quota_bound.h
@@ -4,19 +4,20 @@
 
 namespace azurehill {
 
-/// \brief What the platform allows beyond the accounts' own limits.
+/// \brief Tolerance of quota enforcement: how far the platform lets the requests of an account in a
+/// window exceed the account's own limit.
 struct quota_bound
 {
-    /// In any span of this length the bound holds.
+    /// Length of the sliding window for which the bound holds.
     duration window = seconds(5);
-    /// Part of the limit that may be exceeded.
+    /// Allowed excess as a fraction of the limit.
     double overage = 0.1;
-    /// Requests that may come on top of that.
+    /// Allowed excess in requests, in addition to \c overage.
     double slack = 20;
 };
 
-/// \returns the most credits of \p quota that may be used in a window: the limit, and what of the
-/// platform's allowance is not kept back for requests that are sent twice.
+/// \returns the maximum number of credits of \p quota that may be used in a window: the limit, and
+/// the part of the platform's allowance that is not kept for requests that are sent twice.
 int maxCreditsPerWindow(const request_quota &quota, const quota_bound &bound);
 
 } // namespace azurehill
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// \brief Kinds of datagrams in the order of the variant's alternatives.
+/// \brief Message kinds, in the order of the alternatives of \c quota_message. The numbers are part
+/// of the wire format.
 enum class message_kind { Request, Lent, Denied, NotHolder, Return };
 
-/// Longest time to come back that a datagram may tell.
+/// Upper bound to which a received retry delay is clamped.
 constexpr std::int64_t maxRetryAfterMs = 60'000;
 
 json::array start(message_kind kind)
@@ -31,7 +32,7 @@
     a.emplace_back(account.value);
 }
 
-/// \brief Writes each kind of message as an array, which is short.
+/// \brief Visitor that encodes a message as a JSON array, which is more compact than an object.
 struct message_writer
 {
     json::array operator()(const credit_request &m) const
@@ -104,7 +105,7 @@
     case message_kind::Return:
         return credit_return{parseCreditId(a), {textAt(a, 4)}};
     }
-    throw std::invalid_argument("kind of message");
+    throw std::invalid_argument("unknown message kind");
 }
 
 } // namespace
@@ -120,7 +121,7 @@
         const json::value document = json::parse(text);
         return parseMessage(document.as_array());
     } catch (const std::exception &) {
-        // The caller logs the sender.
+        // The caller logs the error with the sender.
         return std::nullopt;
     }
 }
--- a/src/quota/quota_message.h
+++ b/src/quota/quota_message.h
@@ -9,7 +9,7 @@
 
 namespace azurehill {
 
-/// \brief Asks the holder of the account's row for a credit.
+/// \brief Requests a credit from the daemon that holds the account's quota row.
 struct credit_request
 {
     credit_id id;
@@ -17,42 +17,44 @@
     credit_use use = credit_use::Continue;
 };
 
-/// \brief The request \c number may run.
+/// \brief Grants the credit request \c number.
 struct credit_lent
 {
     std::uint64_t number = 0;
 };
 
-/// \brief The request \c number may not run: the account's quota is used up.
+/// \brief Denies the credit request \c number, since the account's quota is exhausted.
 struct credit_denied
 {
     std::uint64_t number = 0;
-    /// When a credit is there again.
+    /// Time until a credit becomes available.
     duration retryAfter = duration::zero();
 };
 
-/// \brief The receiver of the request \c number does not hold the account's row.
+/// \brief Redirects the credit request \c number, since its receiver does not hold the account's
+/// quota row.
 struct not_holder
 {
     std::uint64_t number = 0;
-    /// The daemon that holds it, or empty if that is not known.
+    /// The daemon that holds the row, or empty if unknown.
     daemon_id holder;
 };
 
-/// \brief The request for which the credit \c id was lent did not run and never will.
+/// \brief Returns the credit \c id unused: the request that it was lent for did not run and never
+/// will.
 struct credit_return
 {
     credit_id id;
     account_id account;
 };
 
-/// \brief One datagram between a daemon that serves a request and the one that lends credits.
+/// \brief Datagram between a daemon that serves a request and the daemon that lends credits.
 using quota_message
     = std::variant<credit_request, credit_lent, credit_denied, not_holder, credit_return>;
 
-/// \returns \p message as the text of a datagram.
+/// \returns \p message encoded as the payload of a datagram.
 std::string encodeQuotaMessage(const quota_message &message);
-/// \returns the message in \p text, or nothing when it can't be read.
+/// \returns the message decoded from \p text, or nothing if it is malformed.
 std::optional<quota_message> decodeQuotaMessage(std::string_view text);
 
 } // namespace azurehill
--- a/src/quota/quota_row.h
+++ b/src/quota/quota_row.h
@@ -11,13 +11,14 @@
 
 namespace azurehill {
 
-/// \brief What the store knows of an account's credits.
+/// \brief Credits of one account as recorded in the store: the holder's reservation, and the
+/// credits of previous holders that still count.
 struct credit_reservation
 {
-    /// Credits that the holder may lend in a window.
+    /// Number of credits that the holder may lend in a window.
     int credits = 0;
-    /// \brief Credits of daemons that held the row before, and for how long they count from the
-    /// write of the row on.
+    /// \brief Credits of a previous holder of the row, and the time for which they still count
+    /// after the write of the row.
     struct peer_share
     {
         int credits = 0;
@@ -26,20 +27,20 @@
     std::vector<peer_share> peerCredits;
 };
 
-/// \brief The row of the store that names the daemon that lends the credits of some accounts, and
-/// bounds how many it may lend.
+/// \brief Lease row of a quota shard in the store. It names the daemon that lends the credits of
+/// the shard's accounts, and limits how many it may lend.
 struct quota_row
 {
     daemon_id holder;
     std::int64_t incarnation = 0;
-    /// The holder has stopped and lends no more.
+    /// The holder has released the row and no longer lends.
     bool isReleased = false;
     std::map<account_id, credit_reservation> reservations;
 };
 
-/// \returns \p row as the text that the store holds.
+/// \returns \p row encoded as the value that the store holds.
 std::string encodeQuotaRow(const quota_row &row);
-/// \returns the row in \p text, or nothing when it can't be read.
+/// \returns the row decoded from \p text, or nothing if it is malformed.
 std::optional<quota_row> decodeQuotaRow(std::string_view text);
 
 } // namespace azurehill
--- a/src/quota/quota_shard_state.cpp
+++ b/src/quota/quota_shard_state.cpp
@@ -4,7 +4,8 @@
 
 namespace azurehill {
 
-quota_shard_state::quota_shard_state(daemon_id self, std::int64_t incarnation, const quota_bound &bound)
+quota_shard_state::quota_shard_state(daemon_id self, std::int64_t incarnation,
+                                     const quota_bound &bound)
     : m_self(std::move(self)), m_incarnation(incarnation), m_bound(bound)
 { }
 
@@ -15,20 +16,22 @@
 }
 
 void quota_shard_state::takeOver(const std::optional<quota_row> &previousRow, holder_state state,
-                          time_point now)
+                                 time_point now)
 {
     m_accounts.clear();
     m_isHeld = false;
     if (!previousRow)
         return;
-    // Credits that were lent last are used later than that, and count for a window more.
-    const duration remainingLease = state == holder_state::NoLongerLending ? duration::zero() : lendingLeaseDuration;
+    // The last credits may be used up to creditLifetime after the previous holder's lease ends, and
+    // count for one window after that.
+    const duration remainingLease
+        = state == holder_state::NoLongerLending ? duration::zero() : lendingLeaseDuration;
     const time_point until = now + remainingLease + credit_ledger::creditLifetime + m_bound.window;
-    for (const auto &[account, level] : previousRow->reservations) {
+    for (const auto &[account, reservation] : previousRow->reservations) {
         credit_ledger &ledger = stateOf(account).ledger;
-        if (level.credits > 0)
-            ledger.addPeerCredits({level.credits, until});
-        for (const credit_reservation::peer_share &share : level.peerCredits)
+        if (reservation.credits > 0)
+            ledger.addPeerCredits({reservation.credits, until});
+        for (const credit_reservation::peer_share &share : reservation.peerCredits)
             ledger.addPeerCredits({share.credits, now + share.left});
     }
 }
@@ -36,8 +39,8 @@
 quota_row quota_shard_state::prepare(const account_registry &accounts, time_point now)
 {
     quota_row row{m_self, m_incarnation, false, {}};
-    for (const auto &[name, rule] : accounts.configs()) {
-        if (rule.quota)
+    for (const auto &[name, config] : accounts.configs()) {
+        if (config.quota)
             stateOf(name);
     }
     for (auto &[name, state] : m_accounts) {
@@ -45,13 +48,14 @@
         const account_config *const config = accounts.find(name);
         const bool isLimited = config && config->quota;
         const int targetCredits = isLimited
-            ? ledger.targetReservation(maxCreditsPerWindow(*config->quota, m_bound), state.isReservationTooSmall, now)
+            ? ledger.targetReservation(maxCreditsPerWindow(*config->quota, m_bound),
+                                       state.isReservationTooSmall, now)
             : ledger.lentCredits(now);
         ledger.setReservedCredits(std::min(ledger.reservedCredits(), targetCredits));
-        credit_reservation &level = row.reservations[name];
-        level.credits = targetCredits;
+        credit_reservation &reservation = row.reservations[name];
+        reservation.credits = targetCredits;
         for (const peer_credits &share : ledger.peerCredits(now))
-            level.peerCredits.push_back({share.credits, share.until - now});
+            reservation.peerCredits.push_back({share.credits, share.until - now});
     }
     return row;
 }
@@ -61,10 +65,10 @@
     m_isHeld = false;
     quota_row row{m_self, m_incarnation, true, {}};
     for (auto &[name, state] : m_accounts) {
-        credit_reservation &level = row.reservations[name];
-        level.credits = state.ledger.lentCredits(now);
+        credit_reservation &reservation = row.reservations[name];
+        reservation.credits = state.ledger.lentCredits(now);
         for (const peer_credits &share : state.ledger.peerCredits(now))
-            level.peerCredits.push_back({share.credits, share.until - now});
+            reservation.peerCredits.push_back({share.credits, share.until - now});
     }
     return row;
 }
@@ -73,9 +77,9 @@
 {
     m_isHeld = true;
     m_lendingLeaseEnd = sentAt + lendingLeaseDuration;
-    for (const auto &[name, level] : row.reservations) {
+    for (const auto &[name, reservation] : row.reservations) {
         account_state &state = stateOf(name);
-        state.ledger.setReservedCredits(level.credits);
+        state.ledger.setReservedCredits(reservation.credits);
         state.isReservationTooSmall = false;
     }
 }
@@ -87,11 +91,12 @@
 }
 
 lend_result quota_shard_state::lend(const account_id &account, const credit_id &id, credit_use use,
-                             int quotaLimit, time_point now)
+                                    int quotaLimit, time_point now)
 {
     account_state &state = stateOf(account);
     const lend_result result = state.ledger.lend(id, use, quotaLimit, now);
-    state.isReservationTooSmall = state.isReservationTooSmall || result.verdict == lend_verdict::ReservationTooSmall;
+    state.isReservationTooSmall
+        = state.isReservationTooSmall || result.verdict == lend_verdict::ReservationTooSmall;
     return result;
 }
 
--- a/src/quota/quota_shards.cpp
+++ b/src/quota/quota_shards.cpp
@@ -17,7 +17,8 @@
 
 row_name quotaRowName(std::size_t shard)
 {
-    // A part of its own, so that the holders' writes don't wait for each other.
+    // Each row has a partition of its own, so that writes of different holders don't wait for each
+    // other.
     const std::string name = fmt::format("{:02}", shard);
     return {std::string(quotaTable), name, name};
 }
--- a/src/quota/quota_shards.h
+++ b/src/quota/quota_shards.h
@@ -6,24 +6,26 @@
 
 namespace azurehill {
 
-/// \brief Accounts are spread over this many rows, each held by one daemon.
+/// \brief Number of shards that accounts are hashed to. Each shard has one row, held by one daemon.
 constexpr std::size_t quotaShardCount = 32;
 
 /// \returns the shard of \p account, below \c quotaShardCount.
 std::size_t shardOf(const account_id &account);
-/// \returns the row of \p shard in the store.
+/// \returns the name of the store row of \p shard.
 row_name quotaRowName(std::size_t shard);
-/// \returns the daemon among \p daemons that should hold \p shard, the same wherever the same
-/// daemons are known; an empty id if there are none.
+/// \returns the daemon among \p daemons that should hold \p shard, chosen by rendezvous hashing:
+/// daemons that know the same members choose the same holder. Returns an empty id if there are
+/// none.
 daemon_id preferredHolder(std::size_t shard, const std::vector<daemon_id> &daemons);
 
-/// \brief What is known of the daemon that a row names as its holder.
+/// \brief State of the daemon that a row names as its holder, as another daemon observes it.
 enum class holder_state {
-    /// It lives as far as anybody knows.
+    /// It is alive according to the membership protocol.
     Alive,
-    /// It is certain that it lends no more: it released the row, or runs anew.
+    /// It certainly no longer lends: it released the row, or has restarted since.
     NoLongerLending,
-    /// It may still lend: nobody hears of it, or it can't be told from one that was cut off.
+    /// It is not a known member but may still lend: a dead daemon can't be distinguished from one
+    /// behind a network partition.
     Unreachable,
 };
 
--- a/test/io/decoder_fuzz_test.cpp
+++ b/test/io/decoder_fuzz_test.cpp
@@ -276,7 +276,8 @@
     {
         fuzz("quota_row", [](const std::string &text) {
             const auto row = decodeQuotaRow(text);
-            for (const auto &[account, level] : row ? row->reservations : decltype(row->reservations)()) {
+            for (const auto &[account, level] :
+                 row ? row->reservations : decltype(row->reservations)()) {
                 RC_ASSERT(level.credits >= 0);
                 for (const credit_reservation::peer_share &share : level.peerCredits)
                     RC_ASSERT(share.credits >= 0 && share.left >= duration::zero());
--- a/test/logic/credit_ledger_test.cpp
+++ b/test/logic/credit_ledger_test.cpp
@@ -8,21 +8,22 @@
 
 constexpr duration window = seconds(5);
 
-/// \brief Lends to one borrower, with a level that bounds nothing unless a test sets one.
+/// \brief Ledger with a single borrower. Its reservation is practically unlimited unless a test
+/// sets one.
 struct ledger_fixture
 {
     ledger_fixture() { ledger.setReservedCredits(1'000'000); }
 
-    lend_verdict ask(credit_use use, int most = 100)
+    lend_verdict requestCredit(credit_use use, int quotaLimit = 100)
     {
-        last = ledger.lend({{"d"}, 1, ++number}, use, most, now);
+        last = ledger.lend({{"d"}, 1, ++number}, use, quotaLimit, now);
         return last.verdict;
     }
-    int requestCredits(int count, credit_use use, int most)
+    int requestCredits(int count, credit_use use, int quotaLimit)
     {
         int lent = 0;
         for (int i = 0; i < count; ++i)
-            lent += ask(use, most) == lend_verdict::Lent ? 1 : 0;
+            lent += requestCredit(use, quotaLimit) == lend_verdict::Lent ? 1 : 0;
         return lent;
     }
 
@@ -34,80 +35,82 @@
 
 } // namespace
 
-TEST_CASE("an account gets no more credits in a window than its bound")
+TEST_CASE("an account gets no more credits in a window than its limit")
 {
-    ledger_fixture desk;
-    CHECK(desk.requestCredits(150, credit_use::Continue, 100) == 100);
+    ledger_fixture fixture;
+    CHECK(fixture.requestCredits(150, credit_use::Continue, 100) == 100);
 
-    SUBCASE("the refusal tells when a credit is there again")
+    SUBCASE("a denial reports when the next credit becomes available")
     {
-        CHECK(desk.last.retryAfter > seconds(4));
-        desk.now += desk.last.retryAfter + milliseconds(1);
-        CHECK(desk.ask(credit_use::Continue) == lend_verdict::Lent);
+        CHECK(fixture.last.retryAfter > seconds(4));
+        fixture.now += fixture.last.retryAfter + milliseconds(1);
+        CHECK(fixture.requestCredit(credit_use::Continue) == lend_verdict::Lent);
     }
-    SUBCASE("a credit that was not used is lent again")
+    SUBCASE("a credit that was returned unused is lent again")
     {
-        desk.ledger.restoreCredit({{"d"}, 1, 7});
-        CHECK(desk.requestCredits(5, credit_use::Continue, 100) == 1);
+        fixture.ledger.restoreCredit({{"d"}, 1, 7});
+        CHECK(fixture.requestCredits(5, credit_use::Continue, 100) == 1);
     }
-    SUBCASE("one credit comes back once only")
+    SUBCASE("a credit that is returned twice counts once")
     {
-        desk.ledger.restoreCredit({{"d"}, 1, 7});
-        desk.ledger.restoreCredit({{"d"}, 1, 7});
-        CHECK(desk.requestCredits(5, credit_use::Continue, 100) == 1);
+        fixture.ledger.restoreCredit({{"d"}, 1, 7});
+        fixture.ledger.restoreCredit({{"d"}, 1, 7});
+        CHECK(fixture.requestCredits(5, credit_use::Continue, 100) == 1);
     }
 }
 
-TEST_CASE("a request that is asked twice uses one credit")
+TEST_CASE("a repeated credit request uses one credit")
 {
-    ledger_fixture desk;
+    ledger_fixture fixture;
     const credit_id id{{"d"}, 1, 500};
-    CHECK(desk.ledger.lend(id, credit_use::Continue, 1, desk.now).verdict == lend_verdict::Lent);
-    CHECK(desk.ledger.lend(id, credit_use::Continue, 1, desk.now).verdict == lend_verdict::Lent);
-    CHECK(desk.ledger.lentCredits(desk.now) == 1);
+    CHECK(fixture.ledger.lend(id, credit_use::Continue, 1, fixture.now).verdict
+          == lend_verdict::Lent);
+    CHECK(fixture.ledger.lend(id, credit_use::Continue, 1, fixture.now).verdict
+          == lend_verdict::Lent);
+    CHECK(fixture.ledger.lentCredits(fixture.now) == 1);
 }
 
-TEST_CASE("what the store does not know of is not lent")
+TEST_CASE("no more credits are lent than the store has reserved")
 {
-    ledger_fixture desk;
-    desk.ledger.setReservedCredits(10);
-    CHECK(desk.requestCredits(20, credit_use::Continue, 100) == 10);
-    CHECK(desk.last.verdict == lend_verdict::ReservationTooSmall);
-    const int wanted = desk.ledger.targetReservation(100, true, desk.now);
-    CHECK(wanted >= 20);
-    CHECK(wanted <= 100);
+    ledger_fixture fixture;
+    fixture.ledger.setReservedCredits(10);
+    CHECK(fixture.requestCredits(20, credit_use::Continue, 100) == 10);
+    CHECK(fixture.last.verdict == lend_verdict::ReservationTooSmall);
+    const int target = fixture.ledger.targetReservation(100, true, fixture.now);
+    CHECK(target >= 20);
+    CHECK(target <= 100);
 }
 
-TEST_CASE("what other daemons may lend is left alone")
+TEST_CASE("credits that other daemons may lend are subtracted from the quota")
 {
-    ledger_fixture desk;
-    desk.ledger.addPeerCredits({60, desk.now + seconds(15)});
-    CHECK(desk.requestCredits(100, credit_use::Continue, 100) == 40);
-    desk.now += seconds(16);
-    CHECK(desk.requestCredits(100, credit_use::Continue, 100) == 100);
+    ledger_fixture fixture;
+    fixture.ledger.addPeerCredits({60, fixture.now + seconds(15)});
+    CHECK(fixture.requestCredits(100, credit_use::Continue, 100) == 40);
+    fixture.now += seconds(16);
+    CHECK(fixture.requestCredits(100, credit_use::Continue, 100) == 100);
 }
 
-// Guards against an account over its limit that begins more programs than it can end.
-TEST_CASE("programs under way find credits while too many want to begin")
+// Guards against an account over its limit that starts more programs than its quota lets it finish.
+TEST_CASE("running programs get credits while too many new ones are starting")
 {
-    ledger_fixture desk;
-    // Programs of ten requests each.
+    ledger_fixture fixture;
+    // Train the estimate with programs of ten requests each.
     for (int i = 0; i < 30; ++i) {
-        desk.ask(credit_use::Begin, 1000);
-        desk.requestCredits(9, credit_use::Continue, 1000);
-        desk.now += seconds(1);
+        fixture.requestCredit(credit_use::Begin, 1000);
+        fixture.requestCredits(9, credit_use::Continue, 1000);
+        fixture.now += seconds(1);
     }
-    desk.now += seconds(6);
-    const int begun = desk.requestCredits(500, credit_use::Begin, 200);
+    fixture.now += seconds(6);
+    const int begun = fixture.requestCredits(500, credit_use::Begin, 200);
     CHECK(begun >= 10);
     CHECK(begun <= 30);
-    CHECK(desk.requestCredits(9 * begun, credit_use::Continue, 200) >= 150);
+    CHECK(fixture.requestCredits(9 * begun, credit_use::Continue, 200) >= 150);
 }
 
-TEST_CASE("an account whose limit is below one program's requests still begins one")
+TEST_CASE("an account whose limit is below the requests of one program can still start one")
 {
-    ledger_fixture desk;
-    CHECK(desk.ask(credit_use::Begin, 3) == lend_verdict::Lent);
+    ledger_fixture fixture;
+    CHECK(fixture.requestCredit(credit_use::Begin, 3) == lend_verdict::Lent);
 }
 
 } // namespace azurehill
--- a/test/logic/quota_shard_state_test.cpp
+++ b/test/logic/quota_shard_state_test.cpp
@@ -20,23 +20,24 @@
     return *account_registry::make({config});
 }
 
-/// What a write of the row meets.
+/// Outcome of a write of the row.
 enum class write_outcome { Answered, AnswerLost, Late, NotApplied };
 
-/// \brief Daemons that write one row, lend by it, die, and are cut off, in any order.
+/// \brief Simulation of daemons that write one row, lend credits under it, crash and are
+/// partitioned, in any order.
 ///
-/// Whoever wants the row may take any holder for silent at any moment: that is more than cuts,
-/// freezes and deaths can do together.
+/// A daemon that tries to acquire the row may consider any holder unreachable at any time. That is
+/// more than network partitions, freezes and crashes can cause together.
 class quota_simulation
 {
 public:
     explicit quota_simulation(int daemons) : m_daemons(static_cast<std::size_t>(daemons))
     {
         for (std::size_t i = 0; i < m_daemons.size(); ++i)
-            m_daemons[i].book = makeState(i);
+            m_daemons[i].state = makeState(i);
     }
 
-    void pass(duration time)
+    void advance(duration time)
     {
         m_now += time;
         std::vector<delayed_write> due;
@@ -54,7 +55,7 @@
         daemon &d = m_daemons[i];
         constexpr int tries = 4;
         for (int n = 0; n < tries; ++n) {
-            const quota_row row = d.book->prepare(m_accounts, m_now);
+            const quota_row row = d.state->prepare(m_accounts, m_now);
             if (fate == write_outcome::Late)
                 m_late.push_back({row, d.version, m_now + seconds(4)});
             if (fate == write_outcome::Late || fate == write_outcome::NotApplied)
@@ -63,14 +64,14 @@
                 store(row);
                 if (fate == write_outcome::Answered) {
                     d.version = m_version;
-                    d.book->onRowWritten(row, m_now);
+                    d.state->onRowWritten(row, m_now);
                 }
                 return;
             }
             const bool isMine = m_row->holder == name(i) && m_row->incarnation == d.incarnation
                 && !m_row->isReleased;
             if (!isMine)
-                d.book->takeOver(m_row, stateOf(*m_row), m_now);
+                d.state->takeOver(m_row, stateOf(*m_row), m_now);
             d.version = m_version;
         }
     }
@@ -78,9 +79,9 @@
     void release(std::size_t i)
     {
         daemon &d = m_daemons[i];
-        if (!d.book->isHeld() || d.version != m_version)
+        if (!d.state->isHeld() || d.version != m_version)
             return;
-        store(d.book->release(m_now));
+        store(d.state->release(m_now));
         d.version = m_version;
     }
 
@@ -88,22 +89,22 @@
     {
         ++m_daemons[i].incarnation;
         m_daemons[i].version = 0;
-        m_daemons[i].book = makeState(i);
+        m_daemons[i].state = makeState(i);
     }
 
-    /// \brief A request whose credit is used \p after it was asked for.
-    void ask(std::size_t i, duration after, credit_use use)
+    /// \brief Requests a credit that, if lent, is used \p after the request.
+    void requestCredit(std::size_t i, duration after, credit_use use)
     {
-        quota_shard_state &book = *m_daemons[i].book;
-        if (!book.mayLend(m_now))
+        quota_shard_state &state = *m_daemons[i].state;
+        if (!state.mayLend(m_now))
             return;
         const int most = maxCreditsPerWindow(quota, m_bound);
         const credit_id id{name(i), 0, ++m_number};
-        if (book.lend(account, id, use, most, m_now).verdict == lend_verdict::Lent)
+        if (state.lend(account, id, use, most, m_now).verdict == lend_verdict::Lent)
             m_useTimes.push_back(m_now + after);
     }
 
-    /// \returns the most credits that were used in any window.
+    /// \returns the maximum number of credits used in any window.
     std::size_t maxUsesPerWindow()
     {
         std::sort(m_useTimes.begin(), m_useTimes.end());
@@ -123,7 +124,7 @@
 private:
     struct daemon
     {
-        std::optional<quota_shard_state> book;
+        std::optional<quota_shard_state> state;
         store_version version = 0;
         std::int64_t incarnation = 1;
     };
@@ -135,7 +136,10 @@
     };
 
     static daemon_id name(std::size_t i) { return {"d" + std::to_string(i)}; }
-    quota_shard_state makeState(std::size_t i) const { return {name(i), m_daemons[i].incarnation, m_bound}; }
+    quota_shard_state makeState(std::size_t i) const
+    {
+        return {name(i), m_daemons[i].incarnation, m_bound};
+    }
     holder_state stateOf(const quota_row &row) const
     {
         for (std::size_t i = 0; i < m_daemons.size(); ++i) {
@@ -146,7 +150,7 @@
     }
     void store(const quota_row &row)
     {
-        // As text, so that what the text loses is lost here too.
+        // Encoded and decoded, so that any loss of precision in the encoding occurs here too.
         m_row = decodeQuotaRow(encodeQuotaRow(row));
         ++m_version;
     }
@@ -162,47 +166,50 @@
     std::uint64_t m_number = 0;
 };
 
-void step(quota_simulation &world)
+void randomStep(quota_simulation &simulation)
 {
-    const auto i = *rc::gen::inRange<std::size_t>(0, world.size());
+    const auto i = *rc::gen::inRange<std::size_t>(0, simulation.size());
     const int kind = *rc::gen::inRange(0, 20);
     if (kind < 3)
-        world.write(i, write_outcome::Answered);
+        simulation.write(i, write_outcome::Answered);
     else if (kind == 3)
-        world.write(i, write_outcome::AnswerLost);
+        simulation.write(i, write_outcome::AnswerLost);
     else if (kind == 4)
-        world.write(i, write_outcome::Late);
+        simulation.write(i, write_outcome::Late);
     else if (kind == 5)
-        world.write(i, write_outcome::NotApplied);
+        simulation.write(i, write_outcome::NotApplied);
     else if (kind == 6)
-        world.release(i);
+        simulation.release(i);
     else if (kind == 7)
-        world.restart(i);
+        simulation.restart(i);
     else if (kind < 12)
-        world.pass(milliseconds(*rc::gen::inRange(1, 1500)));
+        simulation.advance(milliseconds(*rc::gen::inRange(1, 1500)));
     else
         for (int n = *rc::gen::inRange(1, 40); n > 0; --n)
-            world.ask(i, milliseconds(*rc::gen::inRange(0, 251)),
-                      n % 4 == 0 ? credit_use::Begin : credit_use::Continue);
+            simulation.requestCredit(i, milliseconds(*rc::gen::inRange(0, 251)),
+                                     n % 4 == 0 ? credit_use::Begin : credit_use::Continue);
 }
 
 } // namespace
 
-// Guards against a quota that several daemons each lend whole, since they know of each other late.
-TEST_CASE("whatever dies, is cut off or answers late, no window has more than the bound used in it")
+// Guards against several daemons that each lend an account's whole quota, because they learn of
+// each other late.
+TEST_CASE("no window exceeds the limit under crashes, partitions and late writes")
 {
     for (const int daemons : {3, 30, 88, 300}) {
         CHECK(rc::check("bound over " + std::to_string(daemons) + " daemons", [daemons] {
-            quota_simulation world(daemons);
-            // A few daemons do most, so that rows change hands and come back.
+            quota_simulation simulation(daemons);
+            // Most steps fall on a few daemons, so that the row changes holders and returns to
+            // earlier ones.
             for (int n = *rc::gen::inRange(1, 120); n > 0; --n)
-                step(world);
-            RC_ASSERT(world.maxUsesPerWindow() <= std::size_t(maxCreditsPerWindow(quota, quota_bound())));
+                randomStep(simulation);
+            RC_ASSERT(simulation.maxUsesPerWindow()
+                      <= std::size_t(maxCreditsPerWindow(quota, quota_bound())));
         }));
     }
 }
 
-TEST_CASE("a holder's death costs its account a part of the credits for a while, not all")
+TEST_CASE("a crash of the holder makes only a part of the credits unavailable for a while")
 {
     quota_bound bound;
     const account_registry accounts = accountsWith({100, 100});
@@ -218,7 +225,8 @@
         int lent = 0;
         second.onRowWritten(second.prepare(accounts, now), now);
         for (std::uint64_t i = 0; i < 2000; ++i) {
-            const lend_result r = second.lend(account, {{"d2"}, 1, i}, credit_use::Continue, most, now);
+            const lend_result r
+                = second.lend(account, {{"d2"}, 1, i}, credit_use::Continue, most, now);
             if (r.verdict == lend_verdict::ReservationTooSmall)
                 second.onRowWritten(second.prepare(accounts, now), now);
             lent += r.verdict == lend_verdict::Lent ? 1 : 0;
@@ -226,31 +234,32 @@
         return lent;
     };
 
-    SUBCASE("its successor lends at once what it may not have lent")
+    SUBCASE("the next holder lends at once the credits that were not reserved")
     {
         second.takeOver(row, holder_state::Unreachable, now);
         CHECK(lendAll() >= most / 2);
     }
-    SUBCASE("and all of it once nothing that it may have lent counts")
+    SUBCASE("the next holder lends all credits once those of the crashed one have expired")
     {
         second.takeOver(row, holder_state::Unreachable, now);
-        now += quota_shard_state::lendingLeaseDuration + credit_ledger::creditLifetime + bound.window + milliseconds(1);
+        now += quota_shard_state::lendingLeaseDuration + credit_ledger::creditLifetime
+            + bound.window + milliseconds(1);
         CHECK(lendAll() == most);
     }
-    SUBCASE("a holder that ended lends no more, so that it counts for one window only")
+    SUBCASE("credits of a holder that has stopped lending count for one window only")
     {
         second.takeOver(row, holder_state::NoLongerLending, now);
         now += credit_ledger::creditLifetime + bound.window + milliseconds(1);
         CHECK(lendAll() == most);
     }
-    SUBCASE("a holder that can't write its row stops in time")
+    SUBCASE("a holder that can't renew its row stops lending when its lease ends")
     {
         CHECK(first.mayLend(now + quota_shard_state::lendingLeaseDuration - milliseconds(1)));
         CHECK_FALSE(first.mayLend(now + quota_shard_state::lendingLeaseDuration));
     }
 }
 
-TEST_CASE("a row of quotas and its messages are read as they were written")
+TEST_CASE("quota rows and messages survive encoding and decoding")
 {
     quota_row row{{"d1"}, 7, true, {}};
     row.reservations[account] = {12, {{3, milliseconds(400)}}};
