--- a/test/logic/account_test.cpp
+++ b/test/logic/account_test.cpp
@@ -18,22 +18,22 @@
 
 } // namespace
 
-TEST_CASE("a bearer key is parsed from the Authorization header")
+TEST_CASE("a key is read from the header that carries it")
 {
     CHECK(bearerKey("Bearer k1") == "k1");
     CHECK(bearerKey("Bearer   k1") == "k1");
 
-    SUBCASE("scheme names are case-insensitive")
+    SUBCASE("schemes have any case")
     {
         CHECK(bearerKey("bearer k1") == "k1");
         CHECK(bearerKey("BEARER k1") == "k1");
     }
-    SUBCASE("other schemes carry no key")
+    SUBCASE("another scheme carries no key")
     {
         CHECK_FALSE(bearerKey("Basic azE="));
         CHECK_FALSE(bearerKey("Bearerk1"));
     }
-    SUBCASE("an empty key counts as no key")
+    SUBCASE("an empty key is none")
     {
         CHECK_FALSE(bearerKey(""));
         CHECK_FALSE(bearerKey("Bearer"));
@@ -41,7 +41,7 @@
     }
 }
 
-TEST_CASE("a request is authenticated against the accounts of the active configuration")
+TEST_CASE("a request is judged by the accounts in force")
 {
     const auto book
         = account_registry::make({accountConfig("a", {"k1", "k2"}), accountConfig("b", {"k3"})});
@@ -61,25 +61,25 @@
         CHECK(checkAccess(*book, false, unknown).verdict == access_verdict::UnknownKey);
         CHECK(checkAccess(*book, true, unknown).verdict == access_verdict::UnknownKey);
     }
-    SUBCASE("only a public route accepts requests without a key")
+    SUBCASE("only a public route takes requests without a key")
     {
         CHECK(checkAccess(*book, false, no_credential()).verdict == access_verdict::NoKey);
         CHECK(checkAccess(*book, true, no_credential()).verdict == access_verdict::Allowed);
         CHECK(checkAccess(*book, true, no_credential()).account == nullptr);
         CHECK(checkAccess(*book, true, invalid_credential()).verdict == access_verdict::NoKey);
     }
-    SUBCASE("on a public route a known key still identifies the account")
+    SUBCASE("on a public route a known key still tells the account")
     {
         CHECK(checkAccess(*book, true, known).account->name.value == "a");
     }
-    SUBCASE("without accounts no request needs a key")
+    SUBCASE("without accounts nobody needs a key")
     {
         CHECK(checkAccess({}, false, unknown).verdict == access_verdict::Allowed);
         CHECK(checkAccess({}, false, no_credential()).verdict == access_verdict::Allowed);
     }
 }
 
-TEST_CASE("a set of accounts that conflict with each other is rejected as a whole")
+TEST_CASE("accounts that can't be in force together are refused whole")
 {
     CHECK_FALSE(account_registry::make({accountConfig("a", {"k"}), accountConfig("b", {"k"})}));
     CHECK_FALSE(account_registry::make({accountConfig("a", {"k"}), accountConfig("a", {"l"})}));
@@ -87,18 +87,18 @@
     CHECK_FALSE(account_registry::make({accountConfig("a\r\nX-Other: b", {"k"})}));
     CHECK_FALSE(account_registry::make({accountConfig(std::string(1000, 'a'), {"k"})}));
 
-    SUBCASE("an account may list a key twice, and may have no key")
+    SUBCASE("one account may name a key twice, and have none")
     {
         CHECK(account_registry::make({accountConfig("a", {"k", "k"}), accountConfig("b", {})}));
     }
-    SUBCASE("a key may move to another account in the next version")
+    SUBCASE("a key may be another account's in the next version")
     {
         const auto next
             = account_registry::make({accountConfig("a", {}), accountConfig("b", {"k"})});
         REQUIRE(next);
         CHECK(next->findByKey(digestOf("k"))->name.value == "b");
     }
-    SUBCASE("an account may have 10000 keys")
+    SUBCASE("an account holds very many keys")
     {
         std::vector<std::string> keys;
         keys.reserve(10'000);
--- a/test/logic/credit_ledger_test.cpp
+++ b/test/logic/credit_ledger_test.cpp
@@ -35,23 +35,23 @@
 
 } // namespace
 
-TEST_CASE("an account gets no more credits in a window than its limit")
+TEST_CASE("an account gets no more credits in a window than its bound")
 {
     ledger_fixture fixture;
     CHECK(fixture.requestCredits(150, credit_use::Continue, 100) == 100);
 
-    SUBCASE("a denial reports when the next credit becomes available")
+    SUBCASE("the refusal tells when a credit is there again")
     {
         CHECK(fixture.last.retryAfter > seconds(4));
         fixture.now += fixture.last.retryAfter + milliseconds(1);
         CHECK(fixture.requestCredit(credit_use::Continue) == lend_verdict::Lent);
     }
-    SUBCASE("a credit that was returned unused is lent again")
+    SUBCASE("a credit that was not used is lent again")
     {
         fixture.ledger.restoreCredit({{"d"}, 1, 7});
         CHECK(fixture.requestCredits(5, credit_use::Continue, 100) == 1);
     }
-    SUBCASE("a credit that is returned twice counts once")
+    SUBCASE("one credit comes back once only")
     {
         fixture.ledger.restoreCredit({{"d"}, 1, 7});
         fixture.ledger.restoreCredit({{"d"}, 1, 7});
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("a repeated credit request uses one credit")
+TEST_CASE("a request that is asked twice uses one credit")
 {
     ledger_fixture fixture;
     const credit_id id{{"d"}, 1, 500};
@@ -70,7 +70,7 @@
     CHECK(fixture.ledger.lentCredits(fixture.now) == 1);
 }
 
-TEST_CASE("no more credits are lent than the store has reserved")
+TEST_CASE("what the store does not know of is not lent")
 {
     ledger_fixture fixture;
     fixture.ledger.setReservedCredits(10);
@@ -81,7 +81,7 @@
     CHECK(target <= 100);
 }
 
-TEST_CASE("credits that other daemons may lend are subtracted from the quota")
+TEST_CASE("what other daemons may lend is left alone")
 {
     ledger_fixture fixture;
     fixture.ledger.addPeerCredits({60, fixture.now + seconds(15)});
@@ -91,7 +91,7 @@
 }
 
 // Guards against an account over its limit that starts more programs than its quota lets it finish.
-TEST_CASE("running programs get credits while too many new ones are starting")
+TEST_CASE("programs under way find credits while too many want to begin")
 {
     ledger_fixture fixture;
     // Train the estimate with programs of ten requests each.
@@ -107,7 +107,7 @@
     CHECK(fixture.requestCredits(9 * begun, credit_use::Continue, 200) >= 150);
 }
 
-TEST_CASE("an account whose limit is below the requests of one program can still start one")
+TEST_CASE("an account whose limit is below one program's requests still begins one")
 {
     ledger_fixture fixture;
     CHECK(fixture.requestCredit(credit_use::Begin, 3) == lend_verdict::Lent);
--- a/test/logic/quota_shard_state_test.cpp
+++ b/test/logic/quota_shard_state_test.cpp
@@ -194,7 +194,7 @@
 
 // Guards against several daemons that each lend an account's whole quota, because they learn of
 // each other late.
-TEST_CASE("no window exceeds the limit under crashes, partitions and late writes")
+TEST_CASE("whatever dies, is cut off or answers late, no window has more than the bound used in it")
 {
     for (const int daemons : {3, 30, 88, 300}) {
         CHECK(rc::check("bound over " + std::to_string(daemons) + " daemons", [daemons] {
@@ -209,7 +209,7 @@
     }
 }
 
-TEST_CASE("a crash of the holder makes only a part of the credits unavailable for a while")
+TEST_CASE("a holder's death costs its account a part of the credits for a while, not all")
 {
     quota_bound bound;
     const account_registry accounts = accountsWith({100, 100});
@@ -234,32 +234,32 @@
         return lent;
     };
 
-    SUBCASE("the next holder lends at once the credits that were not reserved")
+    SUBCASE("its successor lends at once what it may not have lent")
     {
         second.takeOver(row, holder_state::Unreachable, now);
         CHECK(lendAll() >= most / 2);
     }
-    SUBCASE("the next holder lends all credits once those of the crashed one have expired")
+    SUBCASE("and all of it once nothing that it may have lent counts")
     {
         second.takeOver(row, holder_state::Unreachable, now);
         now += quota_shard_state::lendingLeaseDuration + credit_ledger::creditLifetime
             + bound.window + milliseconds(1);
         CHECK(lendAll() == most);
     }
-    SUBCASE("credits of a holder that has stopped lending count for one window only")
+    SUBCASE("a holder that ended lends no more, so that it counts for one window only")
     {
         second.takeOver(row, holder_state::NoLongerLending, now);
         now += credit_ledger::creditLifetime + bound.window + milliseconds(1);
         CHECK(lendAll() == most);
     }
-    SUBCASE("a holder that can't renew its row stops lending when its lease ends")
+    SUBCASE("a holder that can't write its row stops in time")
     {
         CHECK(first.mayLend(now + quota_shard_state::lendingLeaseDuration - milliseconds(1)));
         CHECK_FALSE(first.mayLend(now + quota_shard_state::lendingLeaseDuration));
     }
 }
 
-TEST_CASE("quota rows and messages survive encoding and decoding")
+TEST_CASE("a row of quotas and its messages are read as they were written")
 {
     quota_row row{{"d1"}, 7, true, {}};
     row.reservations[account] = {12, {{3, milliseconds(400)}}};
