--- a/src/entry/client_request.h
+++ b/src/entry/client_request.h
@@ -13,11 +13,11 @@
 namespace azurehill {
 
 /// \brief Tokens that a model request says it needs.
-struct token_need
+struct token_demand
 {
     std::int64_t prompt = 0;
     /// Most tokens that the answer may have.
-    std::int64_t mostOutput = 0;
+    std::int64_t maxOutputTokens = 0;
 };
 
 /// \brief A client's request as far as the daemon acts on it.
@@ -36,10 +36,10 @@
     /// The line of turns within the program that the request belongs to, or empty.
     std::string session;
     /// Time until the program should be finished.
-    std::optional<duration> programFinish;
+    std::optional<duration> programTimeLeft;
     /// Tokens that all turns of the program may generate.
     std::optional<std::int64_t> tokenBudget;
-    std::optional<token_need> tokens;
+    std::optional<token_demand> tokens;
     std::vector<prompt_part> promptParts;
     /// The turn that this one continues from, or empty.
     turn_id previousTurn;
@@ -48,7 +48,7 @@
 };
 
 /// \brief What the daemon adds to a request on its way to a replica.
-struct forward_fields
+struct forward_headers
 {
     upstream_id replica;
     /// Time after which the client no longer waits.
@@ -56,7 +56,7 @@
     /// Urgency for the replica, 0 first.
     int urgency = 5;
     /// Whether accounts are in force: the client's key then stays here.
-    bool hidesKey = false;
+    bool stripsClientKey = false;
     /// The account that the request belongs to, or empty.
     account_id account;
     /// The last event that the client has, if the stream goes on after it; empty for a new stream,
@@ -84,7 +84,7 @@
 };
 
 /// \brief An answer of the daemon's own in place of a replica's.
-enum class own_answer {
+enum class local_reply {
     NoRoute,
     /// The request's key is missing or unknown.
     NoAccess,
@@ -103,7 +103,7 @@
 };
 
 template <>
-struct enum_names<own_answer>
+struct enum_names<local_reply>
 {
     static constexpr std::array<std::string_view, 10> names
         = {"no_route",  "no_access", "no_such_turn", "budget_spent", "malformed",
--- a/src/entry/engine_places.cpp
+++ b/src/entry/engine_admission.cpp
@@ -1,4 +1,4 @@
-#include "entry/engine_places.h"
+#include "entry/engine_admission.h"
 
 #include "core/log_event.h"
 
@@ -14,17 +14,17 @@
 /// come in time, and the client does better to ask again.
 constexpr double gatePatience = 0.4;
 
-duration gateShare(duration left)
+duration admissionTimeout(duration left)
 {
     return std::chrono::duration_cast<duration>(gatePatience * left);
 }
 
-admission_request ticketOf(const entry_call &call, const program_timing &times)
+admission_request admissionTicketOf(const entry_call &call, const program_timing &times)
 {
     admission_request ticket;
     ticket.rank = call.rank.order;
     ticket.continues = call.isLaterTurn;
-    ticket.slack = call.request.programFinish.value_or(duration::max());
+    ticket.slack = call.request.programTimeLeft.value_or(duration::max());
     if (ticket.slack > duration::zero())
         return ticket;
     ticket.slack = times.timeLeft.value_or(duration::zero());
@@ -35,10 +35,10 @@
     return ticket;
 }
 
-void logPlace(const entry_call &call, const admission_request &ticket,
-              const concurrency_limiter &gate, bool granted, duration waited)
+void logAdmission(const entry_call &call, const admission_request &ticket,
+                  const concurrency_limiter &gate, bool granted, duration waited)
 {
-    logDecision(granted ? log_event::PlaceGranted : log_event::PlaceNotGranted,
+    logDecision(granted ? log_event::RequestAdmitted : log_event::RequestNotAdmitted,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
                  {"previous", call.request.previousTurn.value},
@@ -55,8 +55,8 @@
 }
 
 /// \returns what each daemon of \p others tells of \p service.
-std::vector<concurrency_report> wordsOf(const std::vector<concurrency_reports> &others,
-                                        const std::string &service)
+std::vector<concurrency_report> reportsOf(const std::vector<concurrency_reports> &others,
+                                          const std::string &service)
 {
     std::vector<concurrency_report> words;
     words.reserve(others.size());
@@ -69,18 +69,18 @@
 
 } // namespace
 
-engine_places::engine_places(asio::any_io_executor executor, const mechanism_set &mechanisms,
-                             entry_metrics &metrics)
+engine_admission::engine_admission(asio::any_io_executor executor, const mechanism_set &mechanisms,
+                                   entry_metrics &metrics)
     : m_executor(std::move(executor)), m_mechanisms(mechanisms), m_metrics(metrics)
 { }
 
-void engine_places::addService(const std::string &service)
+void engine_admission::addService(const std::string &service)
 {
-    if (m_mechanisms.has(mechanism::EngineGate))
+    if (m_mechanisms.has(mechanism::EngineAdmission))
         m_gates.try_emplace(service, m_mechanisms);
 }
 
-void engine_places::update(const replica_load_balancer &board, time_point now)
+void engine_admission::update(const replica_load_balancer &board, time_point now)
 {
     for (auto &[name, gate] : m_gates) {
         gate.setEngineCapacity(
@@ -89,7 +89,7 @@
     }
 }
 
-concurrency_reports engine_places::tell()
+concurrency_reports engine_admission::tell()
 {
     concurrency_reports all;
     for (auto &[name, gate] : m_gates) {
@@ -101,15 +101,15 @@
     return all;
 }
 
-void engine_places::hear(const std::vector<concurrency_reports> &heard, std::size_t others)
+void engine_admission::hear(const std::vector<concurrency_reports> &heard, std::size_t others)
 {
     for (auto &[name, gate] : m_gates) {
-        const std::vector<concurrency_report> words = wordsOf(heard, name);
+        const std::vector<concurrency_report> words = reportsOf(heard, name);
         gate.mergeReports({words, others});
     }
 }
 
-void engine_places::grant(concurrency_limiter &gate)
+void engine_admission::grant(concurrency_limiter &gate)
 {
     for (const std::uint64_t number : gate.admitQueued()) {
         const auto found = m_waiting.find(number);
@@ -120,47 +120,47 @@
     }
 }
 
-awaitable<bool> engine_places::enter(entry_call_ptr call, program_timing times)
+awaitable<bool> engine_admission::enter(entry_call_ptr call, program_timing times)
 {
     const auto found = m_gates.find(call->service);
     if (found == m_gates.end())
         co_return true;
     concurrency_limiter &gate = found->second;
-    admission_request ticket = ticketOf(*call, times);
+    admission_request ticket = admissionTicketOf(*call, times);
     ticket.number = ++m_lastTicket;
     if (gate.tryAdmit(ticket)) {
-        call->isInsideGate = true;
+        call->holdsEngineSlot = true;
         co_return true;
     }
-    auto wait = std::make_shared<waiting_call>(m_executor);
+    auto wait = std::make_shared<queued_request>(m_executor);
     m_waiting[ticket.number] = wait;
-    call->gateAlarm = &wait->alarm;
+    call->admissionTimer = &wait->alarm;
     const time_point began = runtime_clock::now();
-    wait->alarm.expires_at(began + gateShare(call->deadline - began));
+    wait->alarm.expires_at(began + admissionTimeout(call->deadline - began));
     boost::system::error_code code;
     co_await wait->alarm.async_wait(asio::redirect_error(use_awaitable, code));
-    call->gateAlarm = nullptr;
+    call->admissionTimer = nullptr;
     m_waiting.erase(ticket.number);
     gate.cancelWait(ticket.number);
-    call->isInsideGate = wait->granted;
+    call->holdsEngineSlot = wait->granted;
     const duration waited = runtime_clock::now() - began;
-    logPlace(*call, ticket, gate, wait->granted, waited);
+    logAdmission(*call, ticket, gate, wait->granted, waited);
     m_metrics.onPhase(call->route->name, request_phase::Place, waited);
-    if (call->clientLeft())
+    if (call->clientDisconnected())
         leave(*call);
-    co_return wait->granted && !call->clientLeft();
+    co_return wait->granted && !call->clientDisconnected();
 }
 
-void engine_places::leave(entry_call &call)
+void engine_admission::leave(entry_call &call)
 {
     const auto gate = m_gates.find(call.service);
-    if (!std::exchange(call.isInsideGate, false) || gate == m_gates.end())
+    if (!std::exchange(call.holdsEngineSlot, false) || gate == m_gates.end())
         return;
     gate->second.release();
     grant(gate->second);
 }
 
-void engine_places::onPace(const std::string &service, double msPerEvent, time_point now)
+void engine_admission::onPace(const std::string &service, double msPerEvent, time_point now)
 {
     if (const auto gate = m_gates.find(service); gate != m_gates.end())
         gate->second.onEventInterval(msPerEvent, now);
--- a/src/entry/engine_places.h
+++ b/src/entry/engine_admission.h
@@ -13,11 +13,11 @@
 
 /// \brief Lets requests wait for a place at the engines of their service. Each service with engines
 /// has a concurrency_limiter. Used on the traffic thread.
-class engine_places
+class engine_admission
 {
 public:
-    engine_places(asio::any_io_executor executor, const mechanism_set &mechanisms,
-                  entry_metrics &metrics);
+    engine_admission(asio::any_io_executor executor, const mechanism_set &mechanisms,
+                     entry_metrics &metrics);
 
     /// \brief Makes a gate for \p service if it has none yet.
     void addService(const std::string &service);
@@ -41,9 +41,9 @@
 
 private:
     /// \brief A request that waits.
-    struct waiting_call
+    struct queued_request
     {
-        explicit waiting_call(const asio::any_io_executor &executor) : alarm(executor) { }
+        explicit queued_request(const asio::any_io_executor &executor) : alarm(executor) { }
         timer alarm;
         bool granted = false;
     };
@@ -54,7 +54,7 @@
     mechanism_set m_mechanisms;
     entry_metrics &m_metrics;
     std::map<std::string, concurrency_limiter, std::less<>> m_gates;
-    std::map<std::uint64_t, std::shared_ptr<waiting_call>> m_waiting;
+    std::map<std::uint64_t, std::shared_ptr<queued_request>> m_waiting;
     std::uint64_t m_lastTicket = 0;
 };
 
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -12,10 +12,16 @@
 namespace azurehill {
 
 /// \brief Why a send was ended from outside.
-enum class cut_reason { None, ClientLeft, TimeOver, ReplicaSilent, AttemptTimeOver };
+enum class abort_reason {
+    None,
+    ClientDisconnected,
+    DeadlineExceeded,
+    ReplicaSilent,
+    AttemptTimeout
+};
 
 template <>
-struct enum_names<cut_reason>
+struct enum_names<abort_reason>
 {
     static constexpr std::array<std::string_view, 5> names
         = {"none", "client_left", "time_over", "replica_silent", "attempt_time_over"};
@@ -26,7 +32,7 @@
 {
     client_request request;
     /// Holds the route that \c route points into.
-    route_book_ptr routes;
+    routing_config_ptr routes;
     const route_rule *route = nullptr;
     /// Path that the request asks for.
     std::string path;
@@ -48,11 +54,11 @@
     time_point lastByteAt;
     /// When the send under way is given up in favour of another replica, if ever.
     std::optional<time_point> attemptDeadline;
-    cut_reason cut = cut_reason::None;
+    abort_reason cut = abort_reason::None;
     /// Bytes of the answer went out to the client.
     bool begun = false;
     /// The answer was the daemon's own.
-    bool isOwnAnswer = false;
+    bool isLocalReply = false;
     /// Its program went on from earlier turns, so far as is known here.
     bool isLaterTurn = false;
     /// Sends that count against the attempts of its route.
@@ -60,9 +66,9 @@
     /// The last event that went out to the client, if its stream goes on at a replica; or empty.
     std::string lastEventId;
     /// Whether the request holds a place at the engines of its service.
-    bool isInsideGate = false;
+    bool holdsEngineSlot = false;
     /// Ends the wait for a place, or null.
-    timer *gateAlarm = nullptr;
+    timer *admissionTimer = nullptr;
     /// Some replica may have worked on the request.
     bool mayHaveRun = false;
     /// The credit of its account that the request uses, if its account has a quota.
@@ -70,16 +76,16 @@
 
     /// \returns the name of the request's account, or an empty one.
     account_id accountName() const { return account ? account->name : account_id(); }
-    bool clientLeft() const { return cut == cut_reason::ClientLeft; }
+    bool clientDisconnected() const { return cut == abort_reason::ClientDisconnected; }
     /// \brief Ends the send under way.
-    void cutOff(cut_reason reason)
+    void abortSend(abort_reason reason)
     {
-        if (cut != cut_reason::ClientLeft)
+        if (cut != abort_reason::ClientDisconnected)
             cut = reason;
         if (connection)
             connection->close();
-        if (gateAlarm)
-            gateAlarm->cancel();
+        if (admissionTimer)
+            admissionTimer->cancel();
     }
 };
 
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -13,21 +13,21 @@
 namespace {
 
 /// Longest wait of one call to the feed. Short, since a feed may go silent while changes are made.
-constexpr duration feedWait = seconds(2);
-constexpr duration feedSlack = seconds(1);
+constexpr duration feedPollTimeout = seconds(2);
+constexpr duration feedTimeoutMargin = seconds(1);
 /// The configuration is read this often within the time in which it must be in force, beside the
 /// feed: a feed that went silent would otherwise leave the daemon with an old one.
 constexpr double configReadsPerApply = 1.3;
 /// The members' rows are read this often by any daemon. Daemons tell each other who lives; the rows
 /// only show those of whom nobody has heard, so a few readers at a time are enough for all.
-constexpr duration membersPause = seconds(2);
-constexpr std::size_t membersReaders = 16;
-constexpr duration storeCallTime = milliseconds(1000);
-constexpr duration failedPause = milliseconds(200);
+constexpr duration membersReadInterval = seconds(2);
+constexpr std::size_t concurrentMemberReaders = 16;
+constexpr duration storeCallTimeout = milliseconds(1000);
+constexpr duration retryInterval = milliseconds(200);
 
 /// Lines on members that came or went in one message or round: a restart of all hosts would
 /// otherwise have each write a line on each other.
-constexpr std::size_t mostMemberLines = 4;
+constexpr std::size_t maxMemberLogLines = 4;
 
 constexpr std::string_view memberTable = "members";
 /// Callers keep an answer this long. Short, so that they leave a stopped daemon soon.
@@ -53,7 +53,7 @@
 
 time_point soon()
 {
-    return runtime_clock::now() + storeCallTime;
+    return runtime_clock::now() + storeCallTimeout;
 }
 
 duration part(duration whole, double count)
@@ -73,8 +73,9 @@
                         [this](const http_request &r, response_writer &w) { return answer(r, w); }),
       m_lookupServer(context.get_executor(), {},
                      [this](const http_request &r, response_writer &w) { return answer(r, w); }),
-      m_peerServer(context.get_executor(), {},
-                   [this](const http_request &r, response_writer &w) { return answerPeer(r, w); }),
+      m_peerServer(
+          context.get_executor(), {},
+          [this](const http_request &r, response_writer &w) { return handlePeerRequest(r, w); }),
       m_membership(makeSelf(settings), stableHash(settings.name.value)),
       m_random(static_cast<std::uint_fast32_t>(stableHash(settings.name.value))),
       m_gossip(context.get_executor(),
@@ -96,7 +97,7 @@
     const auto executor = m_context.get_executor();
     spawn(executor, "followConfiguration", followConfiguration());
     spawn(executor, "pollConfiguration", pollConfiguration());
-    m_replicas.setDrain(m_settings.replicaDrain);
+    m_replicas.setDrainTime(m_settings.replicaDrain);
     spawn(executor, "pollMembers", pollMembers());
     spawn(executor, "gossip", gossip());
     return ports;
@@ -104,14 +105,14 @@
 
 void entry_control::setSettings(const host_settings &settings)
 {
-    m_replicas.setDrain(settings.replicaDrain);
+    m_replicas.setDrainTime(settings.replicaDrain);
     m_settings.configApply = settings.configApply;
     m_settings.grace = settings.grace;
     m_settings.lookupTtl = settings.lookupTtl;
     m_settings.seeds = settings.seeds;
 }
 
-void entry_control::setPlaceWords(concurrency_reports words)
+void entry_control::setAdmissionReport(concurrency_reports words)
 {
     m_membership.setDemandReports(std::move(words));
 }
@@ -150,7 +151,7 @@
     const time_point until = std::min(soon(), latest);
     const auto done = co_await m_store.transact(std::move(t), until);
     if (!done)
-        logDecision(log_event::NotUnregistered, {{"detail", done.error().detail}});
+        logDecision(log_event::DeregistrationFailed, {{"detail", done.error().detail}});
 }
 
 http_response entry_control::answerLookup()
@@ -173,39 +174,40 @@
     std::vector<endpoint> &chosen
         = reaching.size() * enoughShare >= serving.size() ? reaching : serving;
     if (chosen.empty())
-        return encodeOwnAnswer(own_answer::Refused, "no daemon serves", failedPause);
+        return encodeLocalReply(local_reply::Refused, "no daemon serves", retryInterval);
     // Others by chance each time: the first by name alone would get all new callers of a system of
     // more daemons than an answer holds, while everything else is divided among all.
     std::shuffle(chosen.begin(), chosen.end(), m_random);
     if (chosen.size() > maxAddresses)
         chosen.resize(maxAddresses);
-    return encodeAddresses(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
+    return encodeLookupReply(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
 }
 
 awaitable<void> entry_control::answer(const http_request &request, response_writer &writer)
 {
     http_response response;
-    if (isLookup(request.path())) {
+    if (isLookupPath(request.path())) {
         response = answerLookup();
-    } else if (isReadinessCheck(request.path())) {
+    } else if (isReadinessPath(request.path())) {
         const bool ready = m_membership.self().serving;
         response = ready ? jsonResponse(200, "{}")
-                         : encodeOwnAnswer(own_answer::Refused, "not ready", failedPause);
+                         : encodeLocalReply(local_reply::Refused, "not ready", retryInterval);
     } else {
-        response = encodeOwnAnswer(own_answer::NoRoute, "", {});
+        response = encodeLocalReply(local_reply::NoRoute, "", {});
     }
     co_await writer.write(std::move(response));
 }
 
-awaitable<void> entry_control::answerPeer(const http_request &request, response_writer &writer)
+awaitable<void> entry_control::handlePeerRequest(const http_request &request,
+                                                 response_writer &writer)
 {
     http_response response;
     if (isRelayedCall(request))
         response = co_await answerRelayedCall(*m_transport, request);
-    else if (replica_follower::isChangesRequest(request))
-        response = m_replicas.answerChanges(request);
+    else if (replica_discovery::isChangesRequest(request))
+        response = m_replicas.serveChanges(request);
     else
-        response = encodeOwnAnswer(own_answer::NoRoute, "", {});
+        response = encodeLocalReply(local_reply::NoRoute, "", {});
     co_await writer.write(std::move(response));
 }
 
@@ -243,7 +245,7 @@
     while (true) {
         co_await readConfiguration();
         const duration pause
-            = m_routes ? part(m_settings.configApply, configReadsPerApply) : failedPause;
+            = m_routes ? part(m_settings.configApply, configReadsPerApply) : retryInterval;
         co_await sleepFor(pause);
     }
 }
@@ -260,13 +262,14 @@
                 for (const stored_row &row : page->rows)
                     adoptConfiguration(row, "read");
             } else {
-                co_await sleepFor(failedPause);
+                co_await sleepFor(retryInterval);
             }
             continue;
         }
         std::string table = configurationTable();
-        const time_point deadline = runtime_clock::now() + feedWait + feedSlack;
-        const auto page = co_await m_store.changes(std::move(table), after, feedWait, deadline);
+        const time_point deadline = runtime_clock::now() + feedPollTimeout + feedTimeoutMargin;
+        const auto page
+            = co_await m_store.changes(std::move(table), after, feedPollTimeout, deadline);
         if (page) {
             after = std::max(after, page->version);
             for (const stored_row &row : page->rows) {
@@ -277,11 +280,11 @@
         }
         if (page.error().kind == store_error_kind::HistoryGone)
             after = 0;
-        co_await sleepFor(failedPause);
+        co_await sleepFor(retryInterval);
     }
 }
 
-void entry_control::adoptMember(const stored_row &row)
+void entry_control::applyMemberRow(const stored_row &row)
 {
     const auto states = decodeMembers(row.value);
     // A daemon registers itself alone, under its own name; anything else is another writer's.
@@ -298,7 +301,7 @@
     if (!page)
         co_return false;
     for (const stored_row &row : page->rows)
-        adoptMember(row);
+        applyMemberRow(row);
     co_return true;
 }
 
@@ -316,34 +319,34 @@
     // start than that one, also if the host's clock went back in between.
     bool hasRead = co_await readMembers();
     while (!hasRead) {
-        co_await sleepFor(failedPause);
+        co_await sleepFor(retryInterval);
         hasRead = co_await readMembers();
     }
     m_isIncarnationFinal = true;
     // Now the number of daemons is known, which all together read the replicas' entries.
-    tellDaemons();
+    updateDaemonCount();
     spawn(m_context.get_executor(), "followReplicas", m_replicas.follow());
     bool isRegistered = co_await registerSelf();
     while (!isRegistered) {
-        co_await sleepFor(failedPause);
+        co_await sleepFor(retryInterval);
         isRegistered = co_await registerSelf();
     }
     while (true) {
-        co_await sleepFor(membersReadPause());
+        co_await sleepFor(membersReadDelay());
         co_await readMembers();
     }
 }
 
-duration entry_control::membersReadPause()
+duration entry_control::membersReadDelay()
 {
     const std::size_t daemons = m_membership.members().aliveCount() + 1;
-    const double turns = std::max(1.0, double(daemons) / membersReaders);
+    const double turns = std::max(1.0, double(daemons) / concurrentMemberReaders);
     // By chance, so that daemons that started together don't read together.
     const double chance = std::uniform_real_distribution<double>(0.5, 1.5)(m_random);
-    return std::chrono::duration_cast<duration>(membersPause * turns * chance);
+    return std::chrono::duration_cast<duration>(membersReadInterval * turns * chance);
 }
 
-void entry_control::tellDaemons()
+void entry_control::updateDaemonCount()
 {
     // After a start the store names daemons that were not heard of yet.
     const member_list &members = m_membership.members();
@@ -351,7 +354,7 @@
         1 + (m_replicas.hasReplicas() ? members.aliveCount() : members.knownCount()));
 }
 
-void entry_control::tellReplicas()
+void entry_control::updateReplicaDigest()
 {
     if (const auto digest = m_replicas.digest())
         m_membership.setReplicaDigest(*digest, runtime_clock::now());
@@ -359,7 +362,7 @@
 
 void entry_control::onGossip(const probe_message &message, const endpoint &from)
 {
-    tellReplicas();
+    updateReplicaDigest();
     send(m_membership.onMessage(message, from, runtime_clock::now()));
     for (const peer_digest &news : m_membership.takeDigests())
         m_replicas.onDigest(news);
@@ -371,7 +374,7 @@
     const std::vector<member_change> changes = m_membership.takeChanges();
     std::size_t told = 0;
     for (const member_change &c : changes) {
-        if (++told > mostMemberLines)
+        if (++told > maxMemberLogLines)
             break;
         logDecision(
             c.isAlive ? log_event::MemberBack : log_event::MemberGone,
@@ -414,28 +417,28 @@
     const auto isSame = [](const member_state &a, const member_state &b) {
         return a.name == b.name && compareAge(a, b) == 0;
     };
-    if (std::equal(all.begin(), all.end(), m_publishedMembers.begin(), m_publishedMembers.end(),
-                   isSame))
+    if (std::equal(all.begin(), all.end(), m_lastPublishedMembers.begin(),
+                   m_lastPublishedMembers.end(), isSame))
         return;
-    m_publishedMembers = all;
+    m_lastPublishedMembers = all;
     member_state self = std::move(all.front());
     all.erase(all.begin());
     m_events.onMembers(std::move(self), std::move(all));
 }
 
-void entry_control::publishPlaceWords() const
+void entry_control::forwardPeerReports() const
 {
-    m_events.onPlaceWords(m_membership.demandReportsHeard());
+    m_events.onAdmissionReports(m_membership.demandReportsHeard());
     std::vector<replica_reports> heard = m_membership.replicaReportsHeard();
-    if (!heard.empty() && m_events.onReplicaWords)
-        m_events.onReplicaWords(std::move(heard));
+    if (!heard.empty() && m_events.onReplicaReports)
+        m_events.onReplicaReports(std::move(heard));
 }
 
 awaitable<void> entry_control::gossip()
 {
     while (true) {
-        tellDaemons();
-        tellReplicas();
+        updateDaemonCount();
+        updateReplicaDigest();
         m_membership.setSelf(!m_isLeaving && m_routes && m_replicas.hasReplicas(),
                              m_transport->isDirectWorking());
         send(m_membership.onRound(runtime_clock::now()));
@@ -450,7 +453,7 @@
         }
         publishPeers();
         publishMembers();
-        publishPlaceWords();
+        forwardPeerReports();
         co_await sleepFor(membership_protocol::round);
     }
 }
--- a/src/entry/entry_control.h
+++ b/src/entry/entry_control.h
@@ -2,7 +2,7 @@
 
 #include "entry/entry_metrics.h"
 #include "entry/host_settings.h"
-#include "entry/replica_follower.h"
+#include "entry/replica_discovery.h"
 #include "http/http_server.h"
 #include "members/members.h"
 #include "platform/platform_store.h"
@@ -19,16 +19,16 @@
 /// \brief What the control thread tells the traffic thread. All calls come on the control thread.
 struct control_events
 {
-    std::function<void(route_book_ptr)> onRoutes;
+    std::function<void(routing_config_ptr)> onRoutes;
     std::function<void(std::vector<replica_entry>)> onReplicas;
     /// The addresses of the peers that reach the store, and the number of daemons that live.
     std::function<void(std::vector<endpoint>, int)> onPeers;
     /// This daemon's word of itself and the others that live.
     std::function<void(member_state, std::vector<member_state>)> onMembers;
     /// What some of the other daemons that live told lately of their places at the engines.
-    std::function<void(std::vector<concurrency_reports>)> onPlaceWords;
+    std::function<void(std::vector<concurrency_reports>)> onAdmissionReports;
     /// What some of the other daemons told lately of replicas; called where any did.
-    std::function<void(std::vector<replica_reports>)> onReplicaWords;
+    std::function<void(std::vector<replica_reports>)> onReplicaReports;
 };
 
 /// \brief Where the control side of a daemon listens.
@@ -54,7 +54,7 @@
     /// \brief Takes the daemon's row out of the store, by \p latest at the latest.
     awaitable<void> unregister(time_point latest);
     /// \brief Takes in what this daemon tells the others of its places at the engines.
-    void setPlaceWords(concurrency_reports words);
+    void setAdmissionReport(concurrency_reports words);
     /// \brief Takes in what this daemon tells the others of replicas.
     void setReplicaWords(replica_reports words);
     /// \brief Takes over the bounds and times of new settings. Addresses stay as they are.
@@ -65,7 +65,7 @@
 
 private:
     awaitable<void> answer(const http_request &request, response_writer &writer);
-    awaitable<void> answerPeer(const http_request &request, response_writer &writer);
+    awaitable<void> handlePeerRequest(const http_request &request, response_writer &writer);
     http_response answerLookup();
 
     awaitable<void> followConfiguration();
@@ -77,17 +77,17 @@
     awaitable<void> gossip();
 
     void adoptConfiguration(const stored_row &row, std::string_view source);
-    void adoptMember(const stored_row &row);
+    void applyMemberRow(const stored_row &row);
     void publishPeers();
     void publishMembers();
-    void publishPlaceWords() const;
+    void forwardPeerReports() const;
     /// \returns the time until this daemon reads the members' rows again.
-    duration membersReadPause();
+    duration membersReadDelay();
     void onGossip(const probe_message &message, const endpoint &from);
     /// \brief Has the follower of replicas know how many daemons read by turns.
-    void tellDaemons();
+    void updateDaemonCount();
     /// \brief Has the other daemons hear of the newest copy of the replicas' entries.
-    void tellReplicas();
+    void updateReplicaDigest();
     void logMembers();
     void send(const std::vector<probe_datagram> &datagrams);
 
@@ -102,12 +102,12 @@
     membership_protocol m_membership;
     std::minstd_rand m_random;
     gossip_socket m_gossip;
-    route_book_ptr m_routes;
-    replica_follower m_replicas;
+    routing_config_ptr m_routes;
+    replica_discovery m_replicas;
     unreadable_row_log m_unreadable;
     std::vector<endpoint> m_peersReachingStore;
     int m_aliveCount = 0;
-    std::vector<member_state> m_publishedMembers;
+    std::vector<member_state> m_lastPublishedMembers;
     /// The store's rows were read, so that no earlier run of this daemon has a larger incarnation.
     bool m_isIncarnationFinal = false;
     bool m_isLeaving = false;
--- a/src/entry/entry_metrics.cpp
+++ b/src/entry/entry_metrics.cpp
@@ -18,10 +18,10 @@
     = {0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8};
 
 /// Seconds; few, since there are hundreds of accounts.
-const prometheus::Histogram::BucketBoundaries accountBounds = {0.05, 0.25, 1, 4};
+const prometheus::Histogram::BucketBoundaries accountBuckets = {0.05, 0.25, 1, 4};
 
 /// Causes beyond these many are counted as "other": some carry the text of a library's error.
-constexpr std::size_t maxCauses = 64;
+constexpr std::size_t maxCauseLabels = 64;
 
 } // namespace
 
@@ -88,16 +88,16 @@
 void entry_metrics::onAnswer(std::string_view answer, std::string_view cause)
 {
     const std::lock_guard lock(m_state->mutex);
-    const std::string name = state::bounded(m_state->causes, std::string(cause), maxCauses);
+    const std::string name = state::bounded(m_state->causes, std::string(cause), maxCauseLabels);
     m_state->answers.Add({{"answer", std::string(answer)}, {"cause", name}}).Increment();
 }
 
-void entry_metrics::onAccount(const std::string &name, bool isOwnAnswer, duration time)
+void entry_metrics::onAccount(const std::string &name, bool isLocalReply, duration time)
 {
     const std::lock_guard lock(m_state->mutex);
     const std::string account = state::bounded(m_state->accountNames, name, maxAccounts);
     m_state->accounts
-        .Add({{"account", account}, {"answer", isOwnAnswer ? "own" : "replica"}}, accountBounds)
+        .Add({{"account", account}, {"answer", isLocalReply ? "own" : "replica"}}, accountBuckets)
         .Observe(std::chrono::duration<double>(time).count());
 }
 
@@ -107,7 +107,7 @@
     m_state->sends.Add({{"end", std::string(end)}}).Increment();
 }
 
-void entry_metrics::setDoubtedReplicas(int count)
+void entry_metrics::setEjectedReplicas(int count)
 {
     const std::lock_guard lock(m_state->mutex);
     m_state->setGauge("doubted_replicas", count);
--- a/src/entry/entry_metrics.h
+++ b/src/entry/entry_metrics.h
@@ -50,13 +50,13 @@
     /// \p cause.
     void onAnswer(std::string_view answer, std::string_view cause);
     /// \brief A request of the account \p name ended after \p time.
-    /// \param isOwnAnswer whether this daemon answered it in a replica's place.
-    void onAccount(const std::string &name, bool isOwnAnswer, duration time);
+    /// \param isLocalReply whether this daemon answered it in a replica's place.
+    void onAccount(const std::string &name, bool isLocalReply, duration time);
     /// \brief A send to a replica ended as \p end.
     void onSend(std::string_view end);
 
     /// \brief Takes in how many replicas get no requests because some failed there.
-    void setDoubtedReplicas(int count);
+    void setEjectedReplicas(int count);
 
     /// \returns all of them in Prometheus' text format.
     std::string toText(const entry_gauges &gauges);
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-constexpr duration sweepPause = milliseconds(50);
+constexpr duration sweepInterval = milliseconds(50);
 /// Pause between removals of rows that are no longer needed.
-constexpr duration removalPause = seconds(1);
+constexpr duration removalInterval = seconds(1);
 /// Pause between words to the other daemons of what is wanted here: a round of their gossip.
-constexpr duration wordPause = milliseconds(200);
+constexpr duration reportPublishInterval = milliseconds(200);
 /// Share of a process's memory that its turns may take. The rest is for connections and answers.
 constexpr int cacheShare = 8;
 
 /// Share of its time that a request may wait for a credit.
-constexpr double creditPatience = 0.25;
+constexpr double creditWaitShare = 0.25;
 /// Clients come back after this long when no daemon lends: a new one takes about as long to begin.
-constexpr duration lenderComeBack = milliseconds(700);
+constexpr duration lenderRetryAfter = milliseconds(700);
 /// Causes of refusals for a quota's sake.
-constexpr std::string_view quotaUsedUp = "the account's quota is used up";
-constexpr std::string_view lenderSilent = "no daemon lends the account's credits";
+constexpr std::string_view quotaExhaustedDetail = "the account's quota is used up";
+constexpr std::string_view lenderUnavailableDetail = "no daemon lends the account's credits";
 
 http_limits limitsOf(const host_settings &settings, const client_limits &c)
 {
@@ -43,7 +43,7 @@
 
 /// \returns the id under which the daemons keep a program that clients of \p account call
 /// \p named. Another account's program of the same name is another program.
-program_id programIn(const account_id &account, const program_id &named)
+program_id accountScopedProgram(const account_id &account, const program_id &named)
 {
     if (account.empty() || named.empty())
         return named;
@@ -78,8 +78,8 @@
 {
     m_pacedStore.setRates(m_settings.storeWritesPerSecond, m_daemons);
     m_pacedStore.setMerging(m_settings.storeSpansParts
-                            && m_settings.mechanisms.has(mechanism::MergedWrites));
-    spawn(m_executor, "watchOutages", m_store.watchOutages());
+                            && m_settings.mechanisms.has(mechanism::BatchedWrites));
+    spawn(m_executor, "watchOutages", m_store.probeDuringOutages());
     spawn(m_executor, "sweep", sweep());
     spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
@@ -91,7 +91,7 @@
     m_server.announceClose();
 }
 
-void entry_service::setRoutes(route_book_ptr routes)
+void entry_service::setRoutes(routing_config_ptr routes)
 {
     m_routes = std::move(routes);
     m_sender.setRoutes(m_routes);
@@ -127,7 +127,7 @@
 awaitable<void> entry_service::removeExpiredRows()
 {
     while (true) {
-        co_await sleepFor(removalPause);
+        co_await sleepFor(removalInterval);
         co_await m_ledger.removeExpiredRows();
     }
 }
@@ -139,30 +139,30 @@
         m_sender.sweep(now);
         m_ledger.expire(now);
         m_places.update(m_board, now);
-        tellPlaceWords(now);
-        m_metrics.setDoubtedReplicas(m_board.ejectedReplicas());
-        co_await sleepFor(sweepPause);
+        publishReports(now);
+        m_metrics.setEjectedReplicas(m_board.ejectedReplicas());
+        co_await sleepFor(sweepInterval);
     }
 }
 
-void entry_service::setOtherPlaceWords(const std::vector<concurrency_reports> &heard)
+void entry_service::mergeAdmissionReports(const std::vector<concurrency_reports> &heard)
 {
     m_places.hear(heard, static_cast<std::size_t>(m_daemons - 1));
 }
 
-void entry_service::setOtherReplicaWords(const std::vector<replica_reports> &heard)
+void entry_service::mergeReplicaReports(const std::vector<replica_reports> &heard)
 {
     m_board.mergeReports(heard, runtime_clock::now());
 }
 
-void entry_service::tellPlaceWords(time_point now)
+void entry_service::publishReports(time_point now)
 {
-    if (!m_tellPlaceWords || now < m_wordsToldAt + wordPause)
+    if (!m_publishAdmissionReport || now < m_reportsPublishedAt + reportPublishInterval)
         return;
-    m_wordsToldAt = now;
-    m_tellPlaceWords(m_places.tell());
-    if (m_tellReplicaWords)
-        m_tellReplicaWords(m_board.recentReports(now));
+    m_reportsPublishedAt = now;
+    m_publishAdmissionReport(m_places.tell());
+    if (m_publishReplicaReport)
+        m_publishReplicaReport(m_board.recentReports(now));
 }
 
 std::string entry_service::pickService(const route_rule &route)
@@ -182,7 +182,7 @@
 awaitable<bool> entry_service::findRoute(entry_call_ptr call, const http_request &request,
                                          response_writer &writer)
 {
-    own_answer fault = own_answer::Malformed;
+    local_reply fault = local_reply::Malformed;
     std::string detail;
     auto decoded = decodeClientRequest(request);
     if (decoded)
@@ -197,20 +197,20 @@
     if (!decoded) {
         detail = std::move(decoded.error());
     } else if (!m_routes) {
-        fault = own_answer::Refused;
+        fault = local_reply::Refused;
         detail = "no configuration yet";
     } else if (!call->route || call->route->services.empty()) {
         call->route = nullptr;
-        fault = own_answer::NoRoute;
+        fault = local_reply::NoRoute;
     } else if (allowed.verdict != access_verdict::Allowed) {
-        fault = own_answer::NoAccess;
+        fault = local_reply::NoAccess;
         detail = toName(allowed.verdict);
     } else if (call->request.id.empty()) {
         detail = "the request has no id";
     } else {
         call->account = allowed.account;
         call->rank = rankOf(call->account, *call->route);
-        call->request.program = programIn(call->accountName(), call->request.program);
+        call->request.program = accountScopedProgram(call->accountName(), call->request.program);
         co_return true;
     }
     co_await m_answers.write(call, fault, std::move(detail), writer);
@@ -228,17 +228,17 @@
     const duration patience = call->request.patience.value_or(call->route->timeout);
     call->deadline = call->arrivedAt + std::min(patience, call->route->timeout);
     writer.onPeerGone([call] {
-        call->cut = cut_reason::ClientLeft;
-        call->cutOff(cut_reason::ClientLeft);
+        call->cut = abort_reason::ClientDisconnected;
+        call->abortSend(abort_reason::ClientDisconnected);
     });
-    const bool hasCredit = co_await takeCredit(call, writer);
+    const bool hasCredit = co_await acquireCredit(call, writer);
     if (hasCredit) {
         co_await serveRouted(call, request, writer);
         m_places.leave(*call);
         if (call->credit && !call->mayHaveRun)
             m_credits.returnCredit(call->accountName(), *call->credit);
     }
-    noteAnswered(*call);
+    recordAnswered(*call);
 }
 
 awaitable<void> entry_service::serveRouted(entry_call_ptr call, const http_request &request,
@@ -250,7 +250,7 @@
         co_await servePlain(call, request, writer);
 }
 
-awaitable<bool> entry_service::takeCredit(entry_call_ptr call, response_writer &writer)
+awaitable<bool> entry_service::acquireCredit(entry_call_ptr call, response_writer &writer)
 {
     if (!call->account || !call->account->quota)
         co_return true;
@@ -259,30 +259,30 @@
     account_id account = call->accountName();
     const time_point began = runtime_clock::now();
     const auto share
-        = std::chrono::duration_cast<duration>(creditPatience * (call->deadline - began));
+        = std::chrono::duration_cast<duration>(creditWaitShare * (call->deadline - began));
     const borrow_result result = co_await m_credits.borrow(std::move(account), use, began + share);
     if (const auto *id = std::get_if<credit_id>(&result)) {
         call->credit = *id;
         co_return true;
     }
-    if (call->clientLeft())
+    if (call->clientDisconnected())
         co_return false;
     const auto *usedUp = std::get_if<quota_used_up>(&result);
-    std::string detail(usedUp ? quotaUsedUp : lenderSilent);
-    const own_answer answer = usedUp ? own_answer::OverQuota : own_answer::Refused;
+    std::string detail(usedUp ? quotaExhaustedDetail : lenderUnavailableDetail);
+    const local_reply answer = usedUp ? local_reply::OverQuota : local_reply::Refused;
     co_await m_answers.write(call, answer, std::move(detail), writer,
-                             usedUp ? usedUp->retryAfter : lenderComeBack);
+                             usedUp ? usedUp->retryAfter : lenderRetryAfter);
     co_return false;
 }
 
-void entry_service::noteAnswered(const entry_call &call)
+void entry_service::recordAnswered(const entry_call &call)
 {
     const duration whole = runtime_clock::now() - call.arrivedAt;
     m_metrics.onPhase(call.route->name, request_phase::Whole, whole);
     if (call.account)
-        m_metrics.onAccount(call.account->name.value, call.isOwnAnswer, whole);
-    if (!call.isOwnAnswer)
-        m_metrics.onAnswer("replica", call.clientLeft() ? "client_left" : "");
+        m_metrics.onAccount(call.account->name.value, call.isLocalReply, whole);
+    if (!call.isLocalReply)
+        m_metrics.onAnswer("replica", call.clientDisconnected() ? "client_left" : "");
     logDecision(log_event::Answered,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
@@ -290,20 +290,20 @@
                  {"route", call.route->name},
                  {"config", std::int64_t(call.routes->version())},
                  {"sends", std::int64_t(call.sends)},
-                 {"client_left", call.clientLeft()},
+                 {"client_left", call.clientDisconnected()},
                  {"ms", toMilliseconds(whole)}});
 }
 
-bool entry_service::mayRepeat(const entry_call &call)
+bool entry_service::mayRetry(const entry_call &call)
 {
     return call.route->kind == route_kind::Idempotent && call.sends < call.route->maxAttempts
-        && !call.clientLeft() && runtime_clock::now() < call.deadline;
+        && !call.clientDisconnected() && runtime_clock::now() < call.deadline;
 }
 
 awaitable<void> entry_service::servePlain(entry_call_ptr call, const http_request &request,
                                           response_writer &writer)
 {
-    placement_request wanted = placementOf(*call);
+    placement_request wanted = placementRequestFor(*call);
     while (true) {
         std::string body = request.body;
         auto reply = co_await m_sender.open(call, wanted, request, std::move(body));
@@ -316,22 +316,24 @@
         const bool whole = co_await m_relay.readBody(call, *reply, answer);
         if (!whole) {
             m_sender.finish(*call, *reply,
-                            call->clientLeft() ? send_outcome::Cancelled : send_outcome::Broken);
+                            call->clientDisconnected() ? send_outcome::Cancelled
+                                                       : send_outcome::Broken);
             ++call->sends;
-            if (call->cut == cut_reason::AttemptTimeOver)
-                call->cut = cut_reason::None;
-            if (mayRepeat(*call))
+            if (call->cut == abort_reason::AttemptTimeout)
+                call->cut = abort_reason::None;
+            if (mayRetry(*call))
                 continue;
             const send_failure broken{send_outcome::Broken, "the answer broke off"};
             co_await m_answers.giveUp(call, broken, writer);
             co_return;
         }
-        if (answer.size() > answer_relay::bufferedAnswer) {
-            co_await m_relay.relayRest(call, *reply, std::move(answer), writer);
+        if (answer.size() > response_relay::maxBufferedBytes) {
+            co_await m_relay.relayRemainder(call, *reply, std::move(answer), writer);
             co_return;
         }
         m_sender.finish(*call, *reply, send_outcome::Answered);
-        http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
+        http_response response{reply->head.status, clientReplyHeaders(reply->head),
+                               std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
     }
--- a/src/entry/entry_service.h
+++ b/src/entry/entry_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "entry/host_settings.h"
-#include "entry/turn_exchange.h"
+#include "entry/turn_handler.h"
 #include "lending/lending.h"
 #include "members/members.h"
 #include "platform/platform_store.h"
@@ -26,25 +26,25 @@
     /// \returns the number of requests being answered. May be called from any thread.
     int requestsInProgress() const { return m_server.requestsInProgress(); }
 
-    void setRoutes(route_book_ptr routes);
+    void setRoutes(routing_config_ptr routes);
     void setReplicas(const std::vector<replica_entry> &listed);
     /// \param alive daemons that live, this one included.
     void setPeers(std::vector<endpoint> reachingStore, int alive);
     /// \brief Takes in this daemon's word of itself and the others that live.
     void setMembers(member_state self, std::vector<member_state> others);
     /// \brief Takes in what some of the other daemons told lately of their places at the engines.
-    void setOtherPlaceWords(const std::vector<concurrency_reports> &heard);
+    void mergeAdmissionReports(const std::vector<concurrency_reports> &heard);
     /// \brief Takes in what some of the other daemons told lately of replicas.
-    void setOtherReplicaWords(const std::vector<replica_reports> &heard);
+    void mergeReplicaReports(const std::vector<replica_reports> &heard);
     /// \brief Calls \p tell now and then with what this daemon tells of replicas.
-    void onReplicaWords(std::function<void(replica_reports)> tell)
+    void onReplicaReports(std::function<void(replica_reports)> tell)
     {
-        m_tellReplicaWords = std::move(tell);
+        m_publishReplicaReport = std::move(tell);
     }
     /// \brief Calls \p tell now and then with what this daemon tells of its places.
-    void onPlaceWords(std::function<void(concurrency_reports)> tell)
+    void onAdmissionReports(std::function<void(concurrency_reports)> tell)
     {
-        m_tellPlaceWords = std::move(tell);
+        m_publishAdmissionReport = std::move(tell);
     }
 
     /// \brief Gives up what only a daemon that goes on may hold, by \p latest at the latest.
@@ -56,7 +56,7 @@
     awaitable<bool> findRoute(entry_call_ptr call, const http_request &request,
                               response_writer &writer);
     /// \brief Borrows the credit that \p call needs, or answers it.
-    awaitable<bool> takeCredit(entry_call_ptr call, response_writer &writer);
+    awaitable<bool> acquireCredit(entry_call_ptr call, response_writer &writer);
     /// \brief Has \p call, which has what it needs, answered by its route's kind.
     awaitable<void> serveRouted(entry_call_ptr call, const http_request &request,
                                 response_writer &writer);
@@ -64,11 +64,11 @@
                                response_writer &writer);
     awaitable<void> sweep();
     awaitable<void> removeExpiredRows();
-    void tellPlaceWords(time_point now);
+    void publishReports(time_point now);
 
-    static bool mayRepeat(const entry_call &call);
+    static bool mayRetry(const entry_call &call);
     std::string pickService(const route_rule &route);
-    void noteAnswered(const entry_call &call);
+    void recordAnswered(const entry_call &call);
 
     host_settings m_settings;
     entry_metrics &m_metrics;
@@ -81,16 +81,16 @@
     credit_exchange m_credits;
     replica_load_balancer m_board;
     upstream_sender m_sender;
-    engine_places m_places;
-    own_answers m_answers;
-    answer_relay m_relay;
-    turn_exchange m_turns;
+    engine_admission m_places;
+    local_reply_writer m_answers;
+    response_relay m_relay;
+    turn_handler m_turns;
     http_server m_server;
-    route_book_ptr m_routes;
+    routing_config_ptr m_routes;
     int m_daemons = 1;
-    std::function<void(concurrency_reports)> m_tellPlaceWords;
-    std::function<void(replica_reports)> m_tellReplicaWords;
-    time_point m_wordsToldAt;
+    std::function<void(concurrency_reports)> m_publishAdmissionReport;
+    std::function<void(replica_reports)> m_publishReplicaReport;
+    time_point m_reportsPublishedAt;
 };
 
 } // namespace azurehill
--- a/src/entry/own_answers.cpp
+++ b/src/entry/local_reply_writer.cpp
@@ -1,4 +1,4 @@
-#include "entry/own_answers.h"
+#include "entry/local_reply_writer.h"
 
 #include "core/log_event.h"
 #include "platform/ingress.h"
@@ -8,18 +8,19 @@
 namespace {
 
 /// \returns whether \p answer says when to come back.
-bool saysRetry(own_answer answer)
+bool hasRetryAfter(local_reply answer)
 {
-    return answer == own_answer::Refused || answer == own_answer::OverQuota;
+    return answer == local_reply::Refused || answer == local_reply::OverQuota;
 }
 
 } // namespace
 
-awaitable<void> own_answers::write(entry_call_ptr call, own_answer answer, std::string detail,
-                                   response_writer &writer, duration retryAfter)
+awaitable<void> local_reply_writer::write(entry_call_ptr call, local_reply answer,
+                                          std::string detail, response_writer &writer,
+                                          duration retryAfter)
 {
     logDecision(
-        log_event::OwnAnswer,
+        log_event::LocalReply,
         {{"request", call->request.id},
          {"program", call->request.program.value},
          {"previous", call->request.previousTurn.value},
@@ -28,25 +29,25 @@
          {"account", call->accountName().value},
          {"route", call->route ? call->route->name : std::string()},
          {"sends", std::int64_t(call->sends)},
-         {"retry_after_ms", saysRetry(answer) ? toMilliseconds(retryAfter) : std::int64_t(0)},
+         {"retry_after_ms", hasRetryAfter(answer) ? toMilliseconds(retryAfter) : std::int64_t(0)},
          {"ms", toMilliseconds(runtime_clock::now() - call->arrivedAt)}});
     // What follows a colon are figures, which would make a series each.
     m_metrics.onAnswer(toName(answer), std::string_view(detail).substr(0, detail.find(':')));
-    http_response response = encodeOwnAnswer(answer, detail, retryAfter);
-    call->isOwnAnswer = true;
+    http_response response = encodeLocalReply(answer, detail, retryAfter);
+    call->isLocalReply = true;
     co_await writer.write(std::move(response));
 }
 
-awaitable<void> own_answers::giveUp(entry_call_ptr call, send_failure failure,
-                                    response_writer &writer)
+awaitable<void> local_reply_writer::giveUp(entry_call_ptr call, send_failure failure,
+                                           response_writer &writer)
 {
-    if (call->clientLeft() || call->begun)
+    if (call->clientDisconnected() || call->begun)
         co_return;
-    own_answer answer = own_answer::Refused;
+    local_reply answer = local_reply::Refused;
     const bool inTime = runtime_clock::now() < call->deadline;
     // An idempotent request may run again whatever became of it, but 503 says that it never will.
     if (call->mayHaveRun)
-        answer = inTime ? own_answer::Broken : own_answer::TimedOut;
+        answer = inTime ? local_reply::Broken : local_reply::TimedOut;
     co_await write(call, answer, failure.detail, writer);
 }
 
--- a/src/entry/own_answers.h
+++ b/src/entry/local_reply_writer.h
@@ -10,22 +10,22 @@
 namespace azurehill {
 
 /// Time after which a request that found no place comes back: about that of one turn.
-constexpr duration busyComeBack = milliseconds(300);
+constexpr duration busyRetryAfter = milliseconds(300);
 
-/// The cause of a refusal by an engine_places.
+/// The cause of a refusal by an engine_admission.
 constexpr std::string_view enginesBusy = "the engines are busy";
 
 /// \brief Writes the answers that are the daemon's own, with their log line and count.
-class own_answers
+class local_reply_writer
 {
 public:
-    explicit own_answers(entry_metrics &metrics) : m_metrics(metrics) { }
+    explicit local_reply_writer(entry_metrics &metrics) : m_metrics(metrics) { }
 
     /// \brief Ends \p call with \p answer.
     /// \param detail the cause, for the log; what follows a colon are figures.
     /// \param retryAfter when coming back makes sense; only for Refused and OverQuota.
-    awaitable<void> write(entry_call_ptr call, own_answer answer, std::string detail,
-                          response_writer &writer, duration retryAfter = busyComeBack);
+    awaitable<void> write(entry_call_ptr call, local_reply answer, std::string detail,
+                          response_writer &writer, duration retryAfter = busyRetryAfter);
 
     /// \brief Ends \p call after \p failure, unless the client left or has part of an answer.
     awaitable<void> giveUp(entry_call_ptr call, send_failure failure, response_writer &writer);
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -25,7 +25,7 @@
 
 /// Callers keep a look-up for its time to live, some three times as long; after that nobody comes
 /// any more who could know better.
-constexpr duration staleLookups = milliseconds(3500);
+constexpr duration lookupStaleTime = milliseconds(3500);
 /// Share of the grace time after which the process ends in any case.
 constexpr double graceShare = 0.8;
 constexpr duration drainStep = milliseconds(50);
@@ -40,7 +40,7 @@
     const auto latest = std::chrono::duration_cast<duration>(s.grace * graceShare);
     spawn(trafficContext.get_executor(), "release", service.release(began + latest));
     co_await control.unregister(began + latest);
-    const duration stale = std::min<duration>(staleLookups, latest);
+    const duration stale = std::min<duration>(lookupStaleTime, latest);
     int quietSteps = 0;
     constexpr int enoughQuietSteps = 4;
     while (runtime_clock::now() < began + latest) {
@@ -56,7 +56,7 @@
     controlContext.stop();
 }
 
-constexpr duration settingsPause = seconds(2);
+constexpr duration settingsPollInterval = seconds(2);
 
 /// \brief Takes over the settings file whenever it has changed: it may change without a signal, so
 /// it is read again now and then.
@@ -94,7 +94,7 @@
 awaitable<void> watchSettings(settings_watch &watch)
 {
     while (true) {
-        co_await sleepFor(settingsPause);
+        co_await sleepFor(settingsPollInterval);
         watch.check(false);
     }
 }
@@ -142,7 +142,7 @@
     fmt::print(file, "{} {} {} {}\n", clientPort, ports.readiness, ports.lookups, ports.peers);
     file.close();
     if (!file || std::rename(unfinished.c_str(), path.c_str()) != 0)
-        logDecision(log_event::CantListen, {{"detail", "can't write " + path}});
+        logDecision(log_event::ListenFailed, {{"detail", "can't write " + path}});
 }
 
 awaitable<void> answerMetrics(entry_metrics &metrics, const entry_control &control,
@@ -168,7 +168,7 @@
     entry_metrics metrics;
     entry_service service(trafficContext, s, metrics);
     control_events events;
-    events.onRoutes = [&](const route_book_ptr &routes) {
+    events.onRoutes = [&](const routing_config_ptr &routes) {
         asio::post(trafficContext, [&service, routes] { service.setRoutes(routes); });
     };
     events.onReplicas = [&](std::vector<replica_entry> listed) {
@@ -183,19 +183,20 @@
             service.setMembers(s, o);
         });
     };
-    events.onPlaceWords = [&](std::vector<concurrency_reports> others) {
+    events.onAdmissionReports = [&](std::vector<concurrency_reports> others) {
         asio::post(trafficContext,
-                   [&service, o = std::move(others)] { service.setOtherPlaceWords(o); });
+                   [&service, o = std::move(others)] { service.mergeAdmissionReports(o); });
     };
-    events.onReplicaWords = [&](std::vector<replica_reports> others) {
+    events.onReplicaReports = [&](std::vector<replica_reports> others) {
         asio::post(trafficContext,
-                   [&service, o = std::move(others)] { service.setOtherReplicaWords(o); });
+                   [&service, o = std::move(others)] { service.mergeReplicaReports(o); });
     };
     entry_control control(controlContext, s, std::move(events));
-    service.onPlaceWords([&](concurrency_reports wanted) {
-        asio::post(controlContext, [&control, w = std::move(wanted)] { control.setPlaceWords(w); });
+    service.onAdmissionReports([&](concurrency_reports wanted) {
+        asio::post(controlContext,
+                   [&control, w = std::move(wanted)] { control.setAdmissionReport(w); });
     });
-    service.onReplicaWords([&](replica_reports seen) {
+    service.onReplicaReports([&](replica_reports seen) {
         asio::post(controlContext, [&control, w = std::move(seen)] { control.setReplicaWords(w); });
     });
     http_server metricsServer(controlContext.get_executor(), {},
@@ -203,12 +204,12 @@
                                   return answerMetrics(metrics, control, request, writer);
                               });
     if (options.metricsPort != 0 && metricsServer.listen({s.ip, options.metricsPort}) == 0)
-        logDecision(log_event::CantListen,
+        logDecision(log_event::ListenFailed,
                     {{"ip", s.ip}, {"port", std::int64_t(options.metricsPort)}});
     const std::uint16_t clientPort = service.start();
     const auto ports = control.start();
     if (clientPort == 0 || !ports) {
-        logDecision(log_event::CantListen, {{"ip", s.ip}});
+        logDecision(log_event::ListenFailed, {{"ip", s.ip}});
         return exitCantListen;
     }
     asio::signal_set signals(controlContext, SIGTERM, SIGINT);
@@ -224,8 +225,9 @@
     spawn(controlContext.get_executor(), "watchSettings", watchSettings(watch));
     if (!options.portFile.empty())
         writePorts(options.portFile, clientPort, *ports);
-    logDecision(log_event::Started,
-                {{"daemon", s.name.value}, {"ip", s.ip}, {"without", s.mechanisms.offNames()}});
+    logDecision(
+        log_event::Started,
+        {{"daemon", s.name.value}, {"ip", s.ip}, {"without", s.mechanisms.disabledNames()}});
     const auto keepTraffic = asio::make_work_guard(trafficContext);
     std::thread traffic([&] { trafficContext.run(); });
     controlContext.run();
--- a/src/entry/replica_follower.cpp
+++ b/src/entry/replica_discovery.cpp
@@ -1,4 +1,4 @@
-#include "entry/replica_follower.h"
+#include "entry/replica_discovery.h"
 
 #include "core/log_event.h"
 #include "platform/replica_codec.h"
@@ -12,31 +12,31 @@
 
 namespace {
 
-constexpr duration storeCallTime = milliseconds(1000);
+constexpr duration storeCallTimeout = milliseconds(1000);
 /// Time for a daemon nearby to hand out its changes; after it this daemon reads for itself.
-constexpr duration changesTime = milliseconds(250);
+constexpr duration changesTimeout = milliseconds(250);
 /// Time to hand out the whole table, which may be some megabytes on a slow line.
-constexpr duration wholeTime = seconds(3);
+constexpr duration fullTableTimeout = seconds(3);
 /// A daemon hands out the whole table this often at the most.
-constexpr duration handOutPause = milliseconds(250);
+constexpr duration fullTableServeInterval = milliseconds(250);
 /// Part of the reads that are of the whole table, so that a copy that the store's changes spoiled
 /// is found out.
-constexpr double wholeShare = 1.0 / 32;
+constexpr double fullReadShare = 1.0 / 32;
 /// Answers a daemon that may ask another one, or again later.
 constexpr int statusBusy = 503;
 /// Rows in an answer of the store from which on there may be more changes.
-constexpr std::size_t manyChanges = 100;
+constexpr std::size_t fullPageRows = 100;
 /// Looks without a copy after which each daemon reads, whatever the number of daemons.
-constexpr int mostLooksWithout = 6;
+constexpr int maxPollsWithoutCopy = 6;
 constexpr std::string_view changesPath = "/inner/replicas";
 constexpr std::string_view afterParameter = "after";
 constexpr duration maxIdle = seconds(2);
 constexpr std::size_t maxIdleConnections = 1;
 /// Lines on single replicas at one change of the entries; a start would write one for each.
-constexpr std::size_t mostReplicaLines = 8;
+constexpr std::size_t maxReplicaLogLines = 8;
 
 /// \returns a row that is not there: an answer that says so costs the store least.
-row_range touchedRow()
+row_range absentRow()
 {
     const std::string key = "touch";
     return {key, "", key, key + '\0'};
@@ -60,59 +60,60 @@
 
 } // namespace
 
-replica_follower::replica_follower(const asio::any_io_executor &executor, store &rows,
-                                   std::shared_ptr<peer_transport> transport, const daemon_id &self,
-                                   const mechanism_set &mechanisms, receiver onReplicas)
+replica_discovery::replica_discovery(const asio::any_io_executor &executor, store &rows,
+                                     std::shared_ptr<peer_transport> transport,
+                                     const daemon_id &self, const mechanism_set &mechanisms,
+                                     receiver onReplicas)
     : m_executor(executor), m_store(rows), m_transport(std::move(transport)),
       m_mechanisms(mechanisms), m_onReplicas(std::move(onReplicas)),
       m_pool(executor, maxIdle, maxIdleConnections),
       m_random(static_cast<std::uint_fast32_t>(stableHash(self.value)))
 { }
 
-bool replica_follower::mustRead()
+bool replica_discovery::shouldReadTable()
 {
     const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
-    if (!m_mechanisms.has(mechanism::TableTurns))
+    if (!m_mechanisms.has(mechanism::SharedTablePolling))
         return true;
     const auto age = m_table.age(runtime_clock::now());
     if (age)
         return isReadDue(m_turns, age, chance);
     // All may have started at once. The readers' number doubles with each look, and whoever hears
     // of a copy takes it.
-    const int looks = m_looksWithout++;
+    const int looks = m_pollsWithoutCopy++;
     const poll_schedule turns{m_turns.propagationBound,
-                              m_turns.liveDaemons >> std::min(looks, mostLooksWithout)};
-    return looks >= mostLooksWithout || isReadDue(turns, duration::zero(), chance);
+                              m_turns.liveDaemons >> std::min(looks, maxPollsWithoutCopy)};
+    return looks >= maxPollsWithoutCopy || isReadDue(turns, duration::zero(), chance);
 }
 
-awaitable<void> replica_follower::readTable()
+awaitable<void> replica_discovery::readTable()
 {
     const double chance = std::uniform_real_distribution<double>(0, 1)(m_random);
     bool isRead = false;
-    if (m_table.version() != 0 && chance >= wholeShare)
+    if (m_table.version() != 0 && chance >= fullReadShare)
         isRead = co_await readChanges();
     if (!isRead)
-        co_await readWhole();
+        co_await readFullTable();
 }
 
-awaitable<void> replica_follower::readWhole()
+awaitable<void> replica_discovery::readFullTable()
 {
     const time_point began = runtime_clock::now();
     row_range range = replicaRange();
-    const auto page = co_await m_store.read(std::move(range), began + storeCallTime);
+    const auto page = co_await m_store.read(std::move(range), began + storeCallTimeout);
     if (page && m_table.onRead(*page, began))
         adopt("read");
 }
 
-awaitable<bool> replica_follower::readChanges()
+awaitable<bool> replica_discovery::readChanges()
 {
     bool isChanged = false;
-    std::size_t rows = manyChanges;
-    while (rows >= manyChanges) {
+    std::size_t rows = fullPageRows;
+    while (rows >= fullPageRows) {
         const time_point began = runtime_clock::now();
         std::string table = replicaRange().table;
         const auto page = co_await m_store.changes(std::move(table), m_table.version(),
-                                                   duration::zero(), began + storeCallTime);
+                                                   duration::zero(), began + storeCallTimeout);
         if (!page) {
             const bool isGone = page.error().kind == store_error_kind::HistoryGone;
             if (isChanged)
@@ -127,55 +128,55 @@
     co_return true;
 }
 
-awaitable<void> replica_follower::touchStore()
+awaitable<void> replica_discovery::probeStore()
 {
-    row_range range = touchedRow();
-    const time_point deadline = runtime_clock::now() + storeCallTime;
+    row_range range = absentRow();
+    const time_point deadline = runtime_clock::now() + storeCallTimeout;
     static_cast<void>(co_await m_store.read(std::move(range), deadline));
 }
 
-void replica_follower::logStore()
+void replica_discovery::logStoreReachability()
 {
     const bool reachable = m_transport->isDirectWorking();
     if (reachable == m_storeWasReachable)
         return;
-    logDecision(reachable ? log_event::StoreRegained : log_event::StoreLost,
+    logDecision(reachable ? log_event::StoreRecovered : log_event::StoreUnreachable,
                 {{"detail", m_transport->lastDirectFailure()}});
     m_storeWasReachable = reachable;
 }
 
-awaitable<void> replica_follower::follow()
+awaitable<void> replica_discovery::follow()
 {
     while (true) {
         const duration pause = pollInterval(m_turns);
         // Callers are sent to daemons that reach the store, so each looks as often whether it does.
         const bool isStoreSilent
             = runtime_clock::now() - m_transport->lastAnswer() > pause || !m_storeWasReachable;
-        if (mustRead())
+        if (shouldReadTable())
             co_await readTable();
         else if (isStoreSilent)
-            co_await touchStore();
-        logStore();
+            co_await probeStore();
+        logStoreReachability();
         // Apart by chance, so that daemons that started together don't read together.
         const double chance = std::uniform_real_distribution<double>(0.9, 1.1)(m_random);
         co_await sleepFor(std::chrono::duration_cast<duration>(pause * chance));
     }
 }
 
-void replica_follower::onDigest(const peer_digest &news)
+void replica_discovery::onDigest(const peer_digest &news)
 {
     const bool isBehind = m_table.onDigest(news.digest, news.askedAt) == digest_comparison::Behind;
-    if (!isBehind || m_isTakingChanges)
+    if (!isBehind || m_isFetchingChanges)
         return;
-    m_isTakingChanges = true;
+    m_isFetchingChanges = true;
     spawn(m_executor, "takeReplicaChanges", takeChanges(news));
 }
 
-awaitable<void> replica_follower::takeChanges(peer_digest news)
+awaitable<void> replica_discovery::takeChanges(peer_digest news)
 {
     const time_point began = runtime_clock::now();
     const bool isWhole = m_table.version() == 0;
-    const time_point deadline = began + (isWhole ? wholeTime : changesTime);
+    const time_point deadline = began + (isWhole ? fullTableTimeout : changesTimeout);
     http_connection connection = m_pool.take(news.peer, began);
     bool isConnected = connection.isReusable();
     if (!isConnected) {
@@ -194,19 +195,19 @@
         }
         isPeerBusy = response && response->status == statusBusy;
     }
-    m_isTakingChanges = false;
+    m_isFetchingChanges = false;
     if (isTaken)
         adopt("peer");
     else if (!isPeerBusy && m_table.version() < news.digest.version)
         co_await readTable();
 }
 
-bool replica_follower::isChangesRequest(const http_request &request)
+bool replica_discovery::isChangesRequest(const http_request &request)
 {
     return request.path() == changesPath;
 }
 
-http_response replica_follower::answerChanges(const http_request &request)
+http_response replica_discovery::serveChanges(const http_request &request)
 {
     const std::string said = request.query(afterParameter).value_or("");
     store_version after = 0;
@@ -216,15 +217,15 @@
         return jsonResponse(isNumber ? statusBusy : 400, "{}");
     const time_point now = runtime_clock::now();
     const table_changes changes = m_table.changesSince(after, now);
-    const bool isLarge = changes.isSnapshot && changes.rows.size() > manyChanges;
-    if (isLarge && now < m_handedOutAt + handOutPause)
+    const bool isLarge = changes.isSnapshot && changes.rows.size() > fullPageRows;
+    if (isLarge && now < m_fullTableServedAt + fullTableServeInterval)
         return jsonResponse(statusBusy, "{}");
     if (isLarge)
-        m_handedOutAt = now;
+        m_fullTableServedAt = now;
     return jsonResponse(200, encodeChanges(changes));
 }
 
-bool replica_follower::adoptRow(const std::string &key)
+bool replica_discovery::applyRow(const std::string &key)
 {
     const upstream_id id{key};
     const auto old = m_replicas.find(id);
@@ -240,20 +241,20 @@
     replica_entry entry = known ? latestEntry(*known, *read) : *read;
     const bool isChanged
         = !known || known->incarnation != entry.incarnation || known->draining != entry.draining;
-    if (isChanged && ++m_toldReplicas <= mostReplicaLines)
+    if (isChanged && ++m_loggedReplicas <= maxReplicaLogLines)
         logReplica(known, entry);
     m_replicas.insert_or_assign(id, std::move(entry));
     return isChanged;
 }
 
-void replica_follower::adopt(std::string_view source)
+void replica_discovery::adopt(std::string_view source)
 {
     std::size_t changed = 0;
-    m_toldReplicas = 0;
+    m_loggedReplicas = 0;
     for (const std::string &key : m_table.takeChanged()) {
         const bool wasKnown = m_replicas.contains({key});
-        changed += adoptRow(key) ? 1 : 0;
-        if (wasKnown && !m_replicas.contains({key}) && ++m_toldReplicas <= mostReplicaLines)
+        changed += applyRow(key) ? 1 : 0;
+        if (wasKnown && !m_replicas.contains({key}) && ++m_loggedReplicas <= maxReplicaLogLines)
             logDecision(log_event::ReplicaGone, {{"replica", key}});
     }
     m_hasReplicas = true;
@@ -266,7 +267,7 @@
     m_onReplicas(listOf(m_replicas));
 }
 
-void replica_follower::logReplica(const replica_entry *known, const replica_entry &entry) const
+void replica_discovery::logReplica(const replica_entry *known, const replica_entry &entry) const
 {
     const replica_incarnation &who = entry.incarnation;
     if (!known) {
--- a/src/entry/replica_follower.h
+++ b/src/entry/replica_discovery.h
@@ -19,21 +19,21 @@
 /// reaches the store or it reaches nobody, reads for itself. A daemon that has a copy reads what
 /// changed since; one that has none takes it from another daemon, unless it is its turn to read.
 /// Lives on the control thread.
-class replica_follower
+class replica_discovery
 {
 public:
     using receiver = std::function<void(std::vector<replica_entry>)>;
 
     /// \param transport tells whether the store answers this daemon directly.
     /// \param onReplicas called whenever entries changed.
-    replica_follower(const asio::any_io_executor &executor, store &rows,
-                     std::shared_ptr<peer_transport> transport, const daemon_id &self,
-                     const mechanism_set &mechanisms, receiver onReplicas);
+    replica_discovery(const asio::any_io_executor &executor, store &rows,
+                      std::shared_ptr<peer_transport> transport, const daemon_id &self,
+                      const mechanism_set &mechanisms, receiver onReplicas);
 
     /// \brief Reads when it is this daemon's turn. Runs until the program ends.
     awaitable<void> follow();
     /// \brief Takes in how long a leaving replica goes on serving.
-    void setDrain(duration drain) { m_turns.propagationBound = drain; }
+    void setDrainTime(duration drain) { m_turns.propagationBound = drain; }
     /// \brief Takes in how many daemons live, this one included.
     void setDaemons(std::size_t count) { m_turns.liveDaemons = std::max<std::size_t>(1, count); }
 
@@ -44,7 +44,7 @@
     /// \returns whether \p request asks for changes of the entries.
     static bool isChangesRequest(const http_request &request);
     /// \returns the changes that another daemon asks for.
-    http_response answerChanges(const http_request &request);
+    http_response serveChanges(const http_request &request);
 
     /// \returns whether the entries are known.
     bool hasReplicas() const { return m_hasReplicas; }
@@ -52,20 +52,20 @@
 
 private:
     /// \returns whether this daemon reads the table now.
-    bool mustRead();
+    bool shouldReadTable();
     /// \brief Reads what changed since the copy, or all rows where there is no copy.
     awaitable<void> readTable();
-    awaitable<void> readWhole();
+    awaitable<void> readFullTable();
     /// \returns whether the store still told what changed since the copy.
     awaitable<bool> readChanges();
     /// \brief Reads one row, to learn whether the store answers this daemon.
-    awaitable<void> touchStore();
+    awaitable<void> probeStore();
     awaitable<void> takeChanges(peer_digest news);
     void adopt(std::string_view source);
     /// \brief Takes in the row of \p key as it is now. \returns whether its entry is another one.
-    bool adoptRow(const std::string &key);
+    bool applyRow(const std::string &key);
     void logReplica(const replica_entry *known, const replica_entry &entry) const;
-    void logStore();
+    void logStoreReachability();
 
     asio::any_io_executor m_executor;
     store &m_store;
@@ -79,13 +79,13 @@
     std::map<upstream_id, replica_entry> m_replicas;
     unreadable_row_log m_unreadable;
     /// Lines on single replicas at the change that is being taken in.
-    std::size_t m_toldReplicas = 0;
+    std::size_t m_loggedReplicas = 0;
     bool m_hasReplicas = false;
-    bool m_isTakingChanges = false;
+    bool m_isFetchingChanges = false;
     /// Looks without a copy so far.
-    int m_looksWithout = 0;
+    int m_pollsWithoutCopy = 0;
     /// When the whole table was last handed out.
-    time_point m_handedOutAt;
+    time_point m_fullTableServedAt;
     bool m_storeWasReachable = true;
 };
 
--- a/src/entry/answer_relay.cpp
+++ b/src/entry/response_relay.cpp
@@ -1,4 +1,4 @@
-#include "entry/answer_relay.h"
+#include "entry/response_relay.h"
 
 #include "platform/ingress.h"
 
@@ -26,23 +26,24 @@
 }
 
 /// \returns how a send ended whose answer was not relayed whole.
-send_outcome brokenEnd(const entry_call &call, bool clientOpen)
+send_outcome incompleteSendEnd(const entry_call &call, bool clientOpen)
 {
-    if (call.clientLeft() || !clientOpen || call.cut == cut_reason::TimeOver)
+    if (call.clientDisconnected() || !clientOpen || call.cut == abort_reason::DeadlineExceeded)
         return send_outcome::Cancelled;
-    return call.cut == cut_reason::ReplicaSilent ? send_outcome::Silent : send_outcome::Broken;
+    return call.cut == abort_reason::ReplicaSilent ? send_outcome::Silent : send_outcome::Broken;
 }
 
 } // namespace
 
-answer_relay::answer_relay(upstream_sender &sender, replica_load_balancer &board,
-                           engine_places &places, own_answers &answers, entry_metrics &metrics)
+response_relay::response_relay(upstream_sender &sender, replica_load_balancer &board,
+                               engine_admission &places, local_reply_writer &answers,
+                               entry_metrics &metrics)
     : m_sender(sender), m_board(board), m_places(places), m_answers(answers), m_metrics(metrics)
 { }
 
-awaitable<bool> answer_relay::readBody(entry_call_ptr call, open_reply &reply, std::string &body)
+awaitable<bool> response_relay::readBody(entry_call_ptr call, open_reply &reply, std::string &body)
 {
-    while (body.size() <= bufferedAnswer) {
+    while (body.size() <= maxBufferedBytes) {
         const auto piece = co_await reply.connection->readSome(call->deadline);
         if (!piece)
             co_return false;
@@ -54,10 +55,10 @@
     co_return true;
 }
 
-awaitable<void> answer_relay::relayRest(entry_call_ptr call, open_reply &reply, std::string start,
-                                        response_writer &writer)
+awaitable<void> response_relay::relayRemainder(entry_call_ptr call, open_reply &reply,
+                                               std::string start, response_writer &writer)
 {
-    header_list headers = replyHeaders(reply.head);
+    header_list headers = clientReplyHeaders(reply.head);
     call->begun = true;
     bool open = co_await writer.begin(reply.head.status, std::move(headers));
     bool isWhole = false;
@@ -75,11 +76,11 @@
     if (open && isWhole)
         open = co_await writer.end();
     m_sender.finish(*call, reply,
-                    open && isWhole ? send_outcome::Answered : brokenEnd(*call, open));
+                    open && isWhole ? send_outcome::Answered : incompleteSendEnd(*call, open));
 }
 
-awaitable<void> answer_relay::relayFailure(entry_call_ptr call, open_reply reply,
-                                           response_writer &writer)
+awaitable<void> response_relay::relayNonStream(entry_call_ptr call, open_reply reply,
+                                               response_writer &writer)
 {
     std::string body;
     const bool whole = co_await readBody(call, reply, body);
@@ -89,11 +90,12 @@
         co_await m_answers.giveUp(call, broken, writer);
         co_return;
     }
-    http_response response{reply.head.status, replyHeaders(reply.head), std::move(body)};
+    http_response response{reply.head.status, clientReplyHeaders(reply.head), std::move(body)};
     co_await writer.write(std::move(response));
 }
 
-void answer_relay::notePace(const entry_call &call, std::int64_t events, time_point firstAt)
+void response_relay::recordEventInterval(const entry_call &call, std::int64_t events,
+                                         time_point firstAt)
 {
     // Fewer say more about how the answer was cut into packets than about the engine.
     constexpr std::int64_t enoughEvents = 4;
@@ -104,8 +106,8 @@
     m_places.onPace(call.service, span.count() / double(events - 1), call.lastByteAt);
 }
 
-std::string answer_relay::takePiece(entry_call &call, sse_reader &events, const std::string &piece,
-                                    stream_end &stream)
+std::string response_relay::parseChunk(entry_call &call, sse_reader &events,
+                                       const std::string &piece, stream_result &stream)
 {
     std::string whole;
     events.feed(piece);
@@ -124,20 +126,20 @@
     return call.route->isResumable ? whole : piece;
 }
 
-awaitable<stream_end> answer_relay::relayStream(entry_call_ptr call, open_reply &reply,
-                                                response_writer &writer)
+awaitable<stream_result> response_relay::relayStream(entry_call_ptr call, open_reply &reply,
+                                                     response_writer &writer)
 {
-    stream_end result;
-    header_list headers = replyHeaders(reply.head);
+    stream_result result;
+    header_list headers = clientReplyHeaders(reply.head);
     call->begun = true;
     call->lastEventId = call->request.lastEventId;
     result.isOpen = co_await writer.begin(reply.head.status, std::move(headers));
-    co_await relayMore(call, reply, result, writer);
+    co_await relayContinuation(call, reply, result, writer);
     co_return result;
 }
 
-awaitable<void> answer_relay::relayMore(entry_call_ptr call, open_reply &reply, stream_end &stream,
-                                        response_writer &writer)
+awaitable<void> response_relay::relayContinuation(entry_call_ptr call, open_reply &reply,
+                                                  stream_result &stream, response_writer &writer)
 {
     std::optional<time_point> firstAt;
     sse_reader events;
@@ -156,16 +158,17 @@
             m_metrics.onPhase(call->route->name, request_phase::FirstByte, *firstAt - call->sentAt);
         }
         m_board.onBytesReceived(reply.where.replica.incarnation, call->lastByteAt);
-        const std::string bytes = takePiece(*call, events, *piece, stream);
+        const std::string bytes = parseChunk(*call, events, *piece, stream);
         if (!bytes.empty())
             stream.isOpen = co_await writer.writeChunk(bytes);
     }
     if (stream.isWhole && call->route->isResumable && !events.unfinished().empty())
         stream.isOpen = co_await writer.writeChunk(events.unfinished());
     if (firstAt)
-        notePace(*call, stream.events - eventsBefore, *firstAt);
+        recordEventInterval(*call, stream.events - eventsBefore, *firstAt);
     m_sender.finish(*call, reply,
-                    stream.isWhole ? send_outcome::Answered : brokenEnd(*call, stream.isOpen));
+                    stream.isWhole ? send_outcome::Answered
+                                   : incompleteSendEnd(*call, stream.isOpen));
 }
 
 } // namespace azurehill
--- a/src/entry/answer_relay.h
+++ b/src/entry/response_relay.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "entry/engine_places.h"
-#include "entry/own_answers.h"
+#include "entry/engine_admission.h"
+#include "entry/local_reply_writer.h"
 #include "entry/upstream_sender.h"
 #include "http/sse.h"
 
@@ -10,7 +10,7 @@
 namespace azurehill {
 
 /// \brief How the relay of a stream ended.
-struct stream_end
+struct stream_result
 {
     bool isWhole = false;
     /// The client still takes bytes.
@@ -21,49 +21,49 @@
 };
 
 /// \brief Relays replicas' answers to clients. Used on the traffic thread.
-class answer_relay
+class response_relay
 {
 public:
     /// Answers up to this size are read whole before their first byte goes out, so that one that
     /// breaks off can be asked of another replica.
-    static constexpr std::size_t bufferedAnswer = 256U << 10U;
+    static constexpr std::size_t maxBufferedBytes = 256U << 10U;
 
-    answer_relay(upstream_sender &sender, replica_load_balancer &board, engine_places &places,
-                 own_answers &answers, entry_metrics &metrics);
+    response_relay(upstream_sender &sender, replica_load_balancer &board, engine_admission &places,
+                   local_reply_writer &answers, entry_metrics &metrics);
 
-    /// \brief Reads the answer of \p reply into \p body, up to a little more than bufferedAnswer.
+    /// \brief Reads the answer of \p reply into \p body, up to a little more than maxBufferedBytes.
     /// \returns whether it did not break off.
     awaitable<bool> readBody(entry_call_ptr call, open_reply &reply, std::string &body);
 
     /// \brief Relays an answer of which \p start was read, and finishes \p reply.
-    awaitable<void> relayRest(entry_call_ptr call, open_reply &reply, std::string start,
-                              response_writer &writer);
+    awaitable<void> relayRemainder(entry_call_ptr call, open_reply &reply, std::string start,
+                                   response_writer &writer);
 
     /// \brief Relays a stream up to its last piece, and finishes \p reply. The end itself is left
     /// to the caller, who may have to wait before the client may learn of it.
-    awaitable<stream_end> relayStream(entry_call_ptr call, open_reply &reply,
-                                      response_writer &writer);
+    awaitable<stream_result> relayStream(entry_call_ptr call, open_reply &reply,
+                                         response_writer &writer);
     /// \brief Relays more of a stream whose beginning went out: the answer of another send that
     /// goes on after the call's last event.
     ///
     /// \param stream what was relayed so far; what comes is added to it.
-    awaitable<void> relayMore(entry_call_ptr call, open_reply &reply, stream_end &stream,
-                              response_writer &writer);
+    awaitable<void> relayContinuation(entry_call_ptr call, open_reply &reply, stream_result &stream,
+                                      response_writer &writer);
 
     /// \brief Relays a replica's answer that is no stream although one was asked for.
-    awaitable<void> relayFailure(entry_call_ptr call, open_reply reply, response_writer &writer);
+    awaitable<void> relayNonStream(entry_call_ptr call, open_reply reply, response_writer &writer);
 
 private:
     /// \returns the bytes of \p piece that go out now, and adds its events to \p stream. Of a
     /// stream that may be resumed these are whole events only, so that what follows can begin anew.
-    static std::string takePiece(entry_call &call, sse_reader &events, const std::string &piece,
-                                 stream_end &stream);
-    void notePace(const entry_call &call, std::int64_t events, time_point firstAt);
+    static std::string parseChunk(entry_call &call, sse_reader &events, const std::string &piece,
+                                  stream_result &stream);
+    void recordEventInterval(const entry_call &call, std::int64_t events, time_point firstAt);
 
     upstream_sender &m_sender;
     replica_load_balancer &m_board;
-    engine_places &m_places;
-    own_answers &m_answers;
+    engine_admission &m_places;
+    local_reply_writer &m_answers;
     entry_metrics &m_metrics;
 };
 
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -14,42 +14,42 @@
 /// third of the new connections of a calm day replaced ones that had run out.
 constexpr duration maxIdle = seconds(20);
 /// A request that may run once only and is lost on such a connection can't be sent again.
-constexpr duration maxIdleForOnce = seconds(6);
+constexpr duration maxIdleNonIdempotent = seconds(6);
 constexpr std::size_t maxIdlePerReplica = 32;
 /// Replicas are a few milliseconds away. A lost opening packet is sent again after a second, by
 /// which time another replica has long answered.
 constexpr duration connectTime = milliseconds(300);
 /// A replica that shows no sign of life on any connection for this long may be dead. It may also
 /// have many requests to work on, or have preempted this one.
-constexpr duration silenceTime = milliseconds(1200);
+constexpr duration silenceTimeout = milliseconds(1200);
 /// Replicas that refuse are no attempts, but somewhere the search must end.
 constexpr int maxRefusals = 4;
 /// Least time for one attempt of an idempotent request, and its share of the time that is left.
-constexpr duration leastAttemptTime = milliseconds(250);
-constexpr int attemptsInTime = 3;
+constexpr duration minAttemptTimeout = milliseconds(250);
+constexpr int attemptsPerDeadline = 3;
 
 /// Least status of a failure of the replica's own.
-constexpr int leastFailure = 500;
+constexpr int minFailureStatus = 500;
 
-duration attemptTime(const entry_call &call, const replica_load_balancer &board, time_point now)
+duration attemptTimeout(const entry_call &call, const replica_load_balancer &board, time_point now)
 {
-    const duration share = (call.deadline - now) / attemptsInTime;
+    const duration share = (call.deadline - now) / attemptsPerDeadline;
     const auto typical = board.typicalFirstByteTime(call.service);
-    const duration wanted = typical ? std::max<duration>(2 * *typical, leastAttemptTime) : share;
-    return std::min(wanted, std::max<duration>(share, leastAttemptTime));
+    const duration wanted = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : share;
+    return std::min(wanted, std::max<duration>(share, minAttemptTimeout));
 }
 
 send_outcome endOf(const entry_call &call, const http_error &error)
 {
     switch (call.cut) {
-    case cut_reason::ClientLeft:
-    case cut_reason::TimeOver:
+    case abort_reason::ClientDisconnected:
+    case abort_reason::DeadlineExceeded:
         return send_outcome::Cancelled;
-    case cut_reason::ReplicaSilent:
+    case abort_reason::ReplicaSilent:
         return send_outcome::Silent;
-    case cut_reason::AttemptTimeOver:
+    case abort_reason::AttemptTimeout:
         return send_outcome::Broken;
-    case cut_reason::None:
+    case abort_reason::None:
         break;
     }
     return error.kind == http_error_kind::TimedOut ? send_outcome::Cancelled : send_outcome::Broken;
@@ -57,7 +57,7 @@
 
 } // namespace
 
-placement_request placementOf(const entry_call &call)
+placement_request placementRequestFor(const entry_call &call)
 {
     placement_request wanted;
     wanted.service = call.service;
@@ -81,7 +81,7 @@
         return false;
     const time_point heard = std::max(
         {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastReceivedAt(call.replica)});
-    return now - heard > std::max<duration>(silenceTime, 2 * call.route->eventGap);
+    return now - heard > std::max<duration>(silenceTimeout, 2 * call.route->maxEventGap);
 }
 
 bool upstream_sender::isStillAllowed(const entry_call &call) const
@@ -106,39 +106,39 @@
     m_pool.expire(now);
     const std::set<entry_call_ptr> calls = m_underWay;
     for (const entry_call_ptr &call : calls) {
-        if (call->cut != cut_reason::None)
+        if (call->cut != abort_reason::None)
             continue;
         if (now >= call->deadline)
-            call->cutOff(cut_reason::TimeOver);
+            call->abortSend(abort_reason::DeadlineExceeded);
         else if (call->attemptDeadline && now >= *call->attemptDeadline)
-            call->cutOff(cut_reason::AttemptTimeOver);
+            call->abortSend(abort_reason::AttemptTimeout);
         else if (isSilent(*call, now))
-            checkLife(*call);
+            probeReplica(*call);
     }
 }
 
-void upstream_sender::checkLife(const entry_call &call)
+void upstream_sender::probeReplica(const entry_call &call)
 {
-    if (m_checked.insert(call.replica).second)
-        spawn(m_executor, "connectToSilent", connectToSilent(call.replica, call.replicaAddress));
+    if (m_probedReplicas.insert(call.replica).second)
+        spawn(m_executor, "connectToSilent", probeByConnecting(call.replica, call.replicaAddress));
 }
 
-awaitable<void> upstream_sender::connectToSilent(replica_incarnation who, endpoint address)
+awaitable<void> upstream_sender::probeByConnecting(replica_incarnation who, endpoint address)
 {
     http_connection connection(m_executor);
     const auto connected = co_await connection.connect(address, runtime_clock::now() + connectTime);
     const time_point now = runtime_clock::now();
-    m_checked.erase(who);
-    logDecision(log_event::SilenceChecked,
+    m_probedReplicas.erase(who);
+    logDecision(log_event::SilentReplicaProbed,
                 {{"replica", who.id.value}, {"alive", connected.has_value()}});
     const std::set<entry_call_ptr> calls = m_underWay;
     for (const entry_call_ptr &call : calls) {
-        if (call->replica != who || call->cut != cut_reason::None)
+        if (call->replica != who || call->cut != abort_reason::None)
             continue;
         if (connected)
             call->replicaAliveAt = now;
         else if (isSilent(*call, now))
-            call->cutOff(cut_reason::ReplicaSilent);
+            call->abortSend(abort_reason::ReplicaSilent);
     }
     if (connected)
         m_pool.give(address, std::move(connection), now);
@@ -151,7 +151,7 @@
     const endpoint address = where.replica.address;
     const bool once = call->route->kind == route_kind::NonIdempotent;
     auto connection = std::make_shared<http_connection>(
-        m_pool.take(address, runtime_clock::now(), once ? maxIdleForOnce : maxIdle));
+        m_pool.take(address, runtime_clock::now(), once ? maxIdleNonIdempotent : maxIdle));
     call->connection = connection.get();
     call->replica = where.replica.incarnation;
     call->replicaAddress = address;
@@ -168,22 +168,23 @@
         const auto connected = co_await connection->connect(address, until);
         if (!connected) {
             finish(*call, reply,
-                   call->clientLeft() ? send_outcome::Cancelled : send_outcome::Unreachable);
+                   call->clientDisconnected() ? send_outcome::Cancelled
+                                              : send_outcome::Unreachable);
             co_return tl::unexpected(
                 send_failure{send_outcome::Unreachable, connected.error().detail});
         }
     }
-    if (call->clientLeft()) {
+    if (call->clientDisconnected()) {
         finish(*call, reply, send_outcome::Cancelled);
         co_return tl::unexpected(send_failure{send_outcome::Cancelled, "the client left"});
     }
     const time_point now = runtime_clock::now();
     if (call->route->kind == route_kind::Idempotent)
-        call->attemptDeadline = now + attemptTime(*call, m_board, now);
-    const forward_fields fields{where.replica.incarnation.id, call->deadline - now,
-                                call->rank.urgency,           !call->routes->accounts().empty(),
-                                call->accountName(),          call->lastEventId};
-    http_request out = encodeForward(original, fields, std::move(body));
+        call->attemptDeadline = now + attemptTimeout(*call, m_board, now);
+    const forward_headers fields{where.replica.incarnation.id, call->deadline - now,
+                                 call->rank.urgency,           !call->routes->accounts().empty(),
+                                 call->accountName(),          call->lastEventId};
+    http_request out = encodeUpstreamRequest(original, fields, std::move(body));
     logDecision(log_event::Sent,
                 {{"request", call->request.id},
                  {"program", call->request.program.value},
@@ -192,8 +193,8 @@
                  {"outstanding", std::int64_t(where.outstanding)},
                  {"candidates", std::int64_t(where.candidates)},
                  {"finish_ms",
-                  call->request.programFinish ? toMilliseconds(*call->request.programFinish)
-                                              : std::int64_t(-1)},
+                  call->request.programTimeLeft ? toMilliseconds(*call->request.programTimeLeft)
+                                                : std::int64_t(-1)},
                  {"prompt_tokens", wanted.promptTokens},
                  {"cached_tokens", where.cachedTokens},
                  {"cost_ms", where.cost},
@@ -204,18 +205,19 @@
     if (!head) {
         // Only a request of which no byte left did certainly not run.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
-        const send_outcome end
-            = didNotRun && !call->clientLeft() ? send_outcome::NotRun : endOf(*call, head.error());
+        const send_outcome end = didNotRun && !call->clientDisconnected()
+            ? send_outcome::NotRun
+            : endOf(*call, head.error());
         if (!didNotRun)
             call->mayHaveRun = true;
         finish(*call, reply, end);
         co_return tl::unexpected(send_failure{end, head.error().detail});
     }
     call->lastByteAt = runtime_clock::now();
-    const reply_kind kind = judgeReply(*head, call->request.id);
+    const reply_kind kind = classifyReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
         // The time of a failure says nothing of how long answers take.
-        if (head->status < leastFailure)
+        if (head->status < minFailureStatus)
             m_board.onFirstByte(where, wanted, call->lastByteAt - call->sentAt, call->lastByteAt);
         call->mayHaveRun = true;
         reply.head = std::move(*head);
@@ -242,7 +244,7 @@
 void upstream_sender::finish(entry_call &call, open_reply &reply, send_outcome end)
 {
     const time_point now = runtime_clock::now();
-    if (end == send_outcome::Answered && reply.head.status >= leastFailure)
+    if (end == send_outcome::Answered && reply.head.status >= minFailureStatus)
         end = send_outcome::Failed;
     m_board.onDone(reply.where, end, now);
     call.connection = nullptr;
@@ -278,7 +280,7 @@
 {
     send_failure last{send_outcome::Unreachable, "no replica may take requests"};
     int refusals = 0;
-    while (runtime_clock::now() < call->deadline && !call->clientLeft()) {
+    while (runtime_clock::now() < call->deadline && !call->clientDisconnected()) {
         if (!isStillAllowed(*call)) {
             last = {send_outcome::NotRun, "the key or the route was taken away"};
             break;
@@ -299,11 +301,11 @@
             continue;
         }
         ++call->sends;
-        const bool mayRepeat
+        const bool mayRetry
             = call->route->kind == route_kind::Idempotent || call->route->isResumable;
-        if (call->cut == cut_reason::AttemptTimeOver && mayRepeat)
-            call->cut = cut_reason::None;
-        if (!mayRepeat || call->cut != cut_reason::None)
+        if (call->cut == abort_reason::AttemptTimeout && mayRetry)
+            call->cut = abort_reason::None;
+        if (!mayRetry || call->cut != abort_reason::None)
             break;
     }
     co_return tl::unexpected(last);
@@ -313,7 +315,7 @@
 upstream_sender::resume(entry_call_ptr call, placement_request &wanted, placement broken,
                         const http_request &original, std::string body)
 {
-    call->cut = cut_reason::None;
+    call->cut = abort_reason::None;
     ++call->sends;
     bool hasEnded = !m_board.isListed(broken.replica.incarnation);
     if (!hasEnded && call->sends >= call->route->maxAttempts) {
--- a/src/entry/upstream_sender.h
+++ b/src/entry/upstream_sender.h
@@ -25,7 +25,7 @@
 };
 
 /// \returns what \p call needs of a replica.
-placement_request placementOf(const entry_call &call);
+placement_request placementRequestFor(const entry_call &call);
 
 /// \brief Sends requests to replicas: chooses one, keeps connections, judges the head of the answer
 /// and tries another replica where that is certainly allowed. Used on the traffic thread.
@@ -56,7 +56,7 @@
 
     /// \brief Takes in the configuration in force, by which requests are judged once more before
     /// they go out.
-    void setRoutes(route_book_ptr routes) { m_routes = std::move(routes); }
+    void setRoutes(routing_config_ptr routes) { m_routes = std::move(routes); }
 
     /// \brief Closes the kept connections to a replica whose process is over. One that crashed may
     /// not have closed them, and a request that may run once only would be lost on them.
@@ -77,19 +77,19 @@
     bool isStillAllowed(const entry_call &call) const;
     bool isSilent(const entry_call &call, time_point now) const;
     /// \brief Asks whether the silent replica of \p call still takes connections.
-    void checkLife(const entry_call &call);
+    void probeReplica(const entry_call &call);
     /// \brief Opens a connection to \p address. If there is none to be had, the silent sends to
     /// \p who are given up; otherwise they are left to the replica, and the connection is kept.
-    awaitable<void> connectToSilent(replica_incarnation who, endpoint address);
+    awaitable<void> probeByConnecting(replica_incarnation who, endpoint address);
 
     asio::any_io_executor m_executor;
     replica_load_balancer &m_board;
     entry_metrics &m_metrics;
     connection_pool m_pool;
-    route_book_ptr m_routes;
+    routing_config_ptr m_routes;
     std::set<entry_call_ptr> m_underWay;
     /// Silent replicas that are being asked whether they are alive.
-    std::set<replica_incarnation> m_checked;
+    std::set<replica_incarnation> m_probedReplicas;
 };
 
 } // namespace azurehill
--- a/src/lending/credit_exchange.h
+++ b/src/lending/credit_exchange.h
@@ -34,7 +34,7 @@
     /// \brief Starts lending, and binds \p address for the datagrams of other daemons.
     /// \returns the bound port, or 0 on failure.
     std::uint16_t start(const endpoint &address);
-    void setRoutes(route_book_ptr routes) { m_lender.setRoutes(std::move(routes)); }
+    void setRoutes(routing_config_ptr routes) { m_lender.setRoutes(std::move(routes)); }
     /// \brief Sets the state of this daemon and of the other live daemons.
     void setMembers(member_state self, std::vector<member_state> others);
 
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -32,7 +32,7 @@
     : m_executor(std::move(executor)), m_store(rows), m_view(view), m_bound(bound)
 { }
 
-void credit_lender::setRoutes(route_book_ptr routes)
+void credit_lender::setRoutes(routing_config_ptr routes)
 {
     m_routes = std::move(routes);
     m_hasQuotas.fill(false);
@@ -184,7 +184,7 @@
         state.book.onRowWritten(row, sentAt);
         again = false;
         if (!wasHeld)
-            logDecision(log_event::QuotaHeld,
+            logDecision(log_event::QuotaShardAcquired,
                         {{"shard", std::int64_t(shard)}, {"row_version", std::int64_t(*version)}});
     }
     state.isWriting = false;
@@ -222,7 +222,7 @@
         || (holderState == holder_state::Unreachable && m_view.isSettled(now));
     if (!isAbandoned) {
         if (state.book.isHeld())
-            logDecision(log_event::QuotaLost,
+            logDecision(log_event::QuotaShardLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
         state.book.onRowLost();
         // Not the row's version, so that the next attempt conflicts and examines the row again.
@@ -230,7 +230,7 @@
         state.foreignRow = *row;
         return false;
     }
-    logDecision(log_event::QuotaTaken,
+    logDecision(log_event::QuotaShardTakenOver,
                 {{"shard", std::int64_t(shard)},
                  {"holder", row->holder.value},
                  {"state", std::string(toName(holderState))},
@@ -255,7 +255,7 @@
         state.version = *version;
     state.notPreferredSince.reset();
     state.isWriting = false;
-    logDecision(log_event::QuotaLost,
+    logDecision(log_event::QuotaShardLost,
                 {{"shard", std::int64_t(shard)},
                  {"holder", m_view.preferred(shard).value},
                  {"released", version.has_value()}});
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -20,7 +20,7 @@
                   const quota_bound &bound);
 
     /// \brief Sets the configuration in force.
-    void setRoutes(route_book_ptr routes);
+    void setRoutes(routing_config_ptr routes);
     /// \returns the answer to \p request, or nothing if there is none yet and the borrower has to
     /// retry.
     std::optional<quota_message> answer(const credit_request &request);
@@ -69,7 +69,7 @@
     store &m_store;
     const lender_view &m_view;
     quota_bound m_bound;
-    route_book_ptr m_routes;
+    routing_config_ptr m_routes;
     /// Shards with accounts that have a quota.
     std::array<bool, quotaShardCount> m_hasQuotas{};
     std::map<std::size_t, shard_state> m_shards;
--- a/src/routes/routes.h
+++ b/src/routes/routes.h
@@ -3,4 +3,4 @@
 /// \file
 /// \brief Which route a request takes, and what the operator says of it.
 
-#include "routes/route_book.h"
+#include "routes/routing_config.h"
--- a/src/routes/route_book.cpp
+++ b/src/routes/routing_config.cpp
@@ -1,4 +1,4 @@
-#include "routes/route_book.h"
+#include "routes/routing_config.h"
 
 namespace azurehill {
 
@@ -17,9 +17,9 @@
 
 } // namespace
 
-route_book::route_book(std::uint64_t version, std::vector<route_rule> routes,
-                       std::vector<service_rule> services, client_limits limits,
-                       account_registry accounts)
+routing_config::routing_config(std::uint64_t version, std::vector<route_rule> routes,
+                               std::vector<service_rule> services, client_limits limits,
+                               account_registry accounts)
     : m_version(version), m_routes(std::move(routes)), m_limits(limits),
       m_accounts(std::move(accounts))
 {
@@ -31,7 +31,7 @@
         m_byHost[normalized(m_routes[i].hostname)].insert_or_assign(m_routes[i].prefix, i);
 }
 
-const route_rule *route_book::find(std::string_view hostname, std::string_view path) const
+const route_rule *routing_config::find(std::string_view hostname, std::string_view path) const
 {
     const auto host = m_byHost.find(normalized(hostname));
     if (host == m_byHost.end())
@@ -46,7 +46,7 @@
     return nullptr;
 }
 
-std::vector<service_rule> route_book::services() const
+std::vector<service_rule> routing_config::services() const
 {
     std::vector<service_rule> list;
     for (const auto &[name, rule] : m_services)
@@ -54,7 +54,7 @@
     return list;
 }
 
-const service_rule *route_book::service(std::string_view name) const
+const service_rule *routing_config::service(std::string_view name) const
 {
     const auto found = m_services.find(name);
     return found == m_services.end() ? nullptr : &found->second;
--- a/src/routes/route_book.h
+++ b/src/routes/routing_config.h
@@ -44,7 +44,7 @@
     /// Time within which an answer earns full credit.
     duration objective = seconds(1);
     /// Longest pause between the events of a stream that is still on time.
-    duration eventGap = seconds(1);
+    duration maxEventGap = seconds(1);
     /// Rank; 0 goes first.
     int priority = 0;
     std::vector<weighted_service> services;
@@ -88,12 +88,12 @@
 };
 
 /// \brief One version of the configuration. It never changes once made.
-class route_book
+class routing_config
 {
 public:
-    route_book(std::uint64_t version, std::vector<route_rule> routes,
-               std::vector<service_rule> services, client_limits limits,
-               account_registry accounts = {});
+    routing_config(std::uint64_t version, std::vector<route_rule> routes,
+                   std::vector<service_rule> services, client_limits limits,
+                   account_registry accounts = {});
 
     std::uint64_t version() const { return m_version; }
     const client_limits &limits() const { return m_limits; }
@@ -117,6 +117,6 @@
     std::map<std::string, std::map<std::string, std::size_t, std::less<>>, std::less<>> m_byHost;
 };
 
-using route_book_ptr = std::shared_ptr<const route_book>;
+using routing_config_ptr = std::shared_ptr<const routing_config>;
 
 } // namespace azurehill
--- a/test/io/account_access_test.cpp
+++ b/test/io/account_access_test.cpp
@@ -1,18 +1,18 @@
 #include <doctest/doctest.h>
 
 // doctest's macros are used by the world.
-#include "entry_world.h"
+#include "entry_fixture.h"
 
 namespace azurehill::test {
 
 namespace {
 
 /// \returns the routes of the world with two accounts; "/open/" is public.
-route_book_ptr routesWithAccounts(std::uint64_t version, const std::string &keyOfFirst,
-                                  std::optional<request_quota> quota = std::nullopt)
+routing_config_ptr routesWithAccounts(std::uint64_t version, const std::string &keyOfFirst,
+                                      std::optional<request_quota> quota = std::nullopt)
 {
-    std::vector<route_rule> routes = entry_world::makeRoutes()->routes();
-    routes.push_back(entry_world::rule("/open/", route_kind::Idempotent, "tools"));
+    std::vector<route_rule> routes = entry_fixture::makeRoutes()->routes();
+    routes.push_back(entry_fixture::rule("/open/", route_kind::Idempotent, "tools"));
     routes.back().isPublic = true;
     std::vector<account_config> rules(2);
     rules[0].name = {"first"};
@@ -22,8 +22,9 @@
     rules[1].name = {"second"};
     rules[1].keys = {digestOf("k2")};
     auto book = account_registry::make(std::move(rules));
-    return std::make_shared<route_book>(version, routes, entry_world::makeRoutes()->services(),
-                                        client_limits(), std::move(*book));
+    return std::make_shared<routing_config>(version, routes,
+                                            entry_fixture::makeRoutes()->services(),
+                                            client_limits(), std::move(*book));
 }
 
 std::string request(const std::string &path, const std::string &id, const std::string &more = "")
@@ -52,9 +53,9 @@
 }
 
 /// \brief A world whose configuration has accounts.
-struct account_world : entry_world
+struct account_fixture : entry_fixture
 {
-    account_world() { service->setRoutes(routesWithAccounts(2, "k1")); }
+    account_fixture() { service->setRoutes(routesWithAccounts(2, "k1")); }
 
     std::vector<std::string> arrived() const
     {
@@ -70,7 +71,7 @@
 {
     TEST_CASE("a replica learns the account from the daemon, and never the key")
     {
-        account_world w;
+        account_fixture w;
         CHECK(statusOf(w.ask(request("/safe/x", "r1",
                                      "Authorization: Bearer k1\r\nX-Azurehill-Tenant: second")))
               == 200);
@@ -89,7 +90,7 @@
 
     TEST_CASE("a request without a key that is known reaches no replica")
     {
-        account_world w;
+        account_fixture w;
         std::string fields;
         SUBCASE("no key") { }
         SUBCASE("an unknown key")
@@ -116,7 +117,7 @@
 
     TEST_CASE("a public route takes requests without a key, in nobody's name")
     {
-        account_world w;
+        account_fixture w;
         CHECK(statusOf(w.ask(request("/open/x", "r1", "X-Azurehill-Tenant: first"))) == 200);
         REQUIRE(w.arrived().size() == 1);
         CHECK_FALSE(contains(w.arrived().front(), "X-Azurehill-Tenant"));
@@ -125,7 +126,7 @@
 
     TEST_CASE("a key that is taken away works no more with the next version")
     {
-        account_world w;
+        account_fixture w;
         CHECK(statusOf(w.ask(request("/safe/x", "r1", "Authorization: Bearer k1"))) == 200);
         w.service->setRoutes(routesWithAccounts(3, "k1-new"));
         CHECK(statusOf(w.ask(request("/safe/x", "r2", "Authorization: Bearer k1"))) == 401);
@@ -135,7 +136,7 @@
     // Guards against one account reading another's conversation by the id of a turn.
     TEST_CASE("a turn of another account is answered like one that is not there")
     {
-        account_world w;
+        account_fixture w;
         w.model.script = {scripted_replica::stream(2), scripted_replica::stream(2),
                           scripted_replica::stream(2)};
         REQUIRE(statusOf(w.ask(turnOf("t1", "", "k1"), "mine")) == 200);
@@ -155,7 +156,7 @@
 
     TEST_CASE("programs of two accounts are two, whatever their names")
     {
-        account_world w;
+        account_fixture w;
         w.model.script = {scripted_replica::stream(2), scripted_replica::stream(2)};
         CHECK(statusOf(w.ask(turnOf("t1", "", "k1"), "in")) == 200);
         CHECK(statusOf(w.ask(turnOf("t2", "", "k2"), "in")) == 200);
@@ -165,7 +166,7 @@
 
     TEST_CASE("an account with a quota is served up to it, and told when to come back")
     {
-        account_world w;
+        account_fixture w;
         w.service->setRoutes(routesWithAccounts(3, "k1", request_quota{1, 1}));
         member_state self;
         self.name = {"front"};
--- a/test/io/callers_history_test.cpp
+++ b/test/io/client_history_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
-// entry_world.h uses doctest's macros.
-#include "entry_world.h"
+// entry_fixture.h uses doctest's macros.
+#include "entry_fixture.h"
 #include "fake_store.h"
 
 #include <rapidcheck.h>
@@ -60,7 +60,7 @@
     // Guards against programs that spend a multiple of their budget if their history is not stored.
     TEST_CASE("a budget holds")
     {
-        entry_world w;
+        entry_fixture w;
         w.model.script = {scripted_replica::stream(5)};
         CHECK(statusOf(w.chat("t1", "one;", 45)) == 200);
 
@@ -86,7 +86,7 @@
     // exhaust the budget.
     TEST_CASE("ends are settled once half of the budget is committed")
     {
-        entry_world w;
+        entry_fixture w;
         int writes = 0;
         w.store.nextTrouble = [&](std::string_view path) {
             writes += path == "/azurehill/rows-tx" ? 1 : 0;
@@ -114,7 +114,7 @@
     // Guards against tokens of an incomplete response that are not charged.
     TEST_CASE("a turn that broke off is charged what was handed out")
     {
-        entry_world w;
+        entry_fixture w;
         std::string broken = scripted_replica::stream(5);
         broken.resize(broken.size() - 5);
         w.model.script = {broken + "<close>", "", "", ""};
@@ -125,7 +125,7 @@
     // Guards against charging turns that did not run.
     TEST_CASE("a turn that no replica ran costs nothing")
     {
-        entry_world w;
+        entry_fixture w;
         const std::string refusal = "HTTP/1.1 503 Service Unavailable\r\n"
                                     "X-Azurehill-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
         for (int i = 0; i < 3; ++i) {
@@ -139,7 +139,7 @@
     // Guards against turns that run without a reservation while the store is unavailable.
     TEST_CASE("no turn runs that the store did not hold")
     {
-        entry_world w;
+        entry_fixture w;
         w.store.nextTrouble = [](std::string_view) { return store_trouble::Unavailable; };
         CHECK(statusOf(w.chat("t1", "one;")) == 503);
         CHECK(w.model.arrived.empty());
@@ -148,7 +148,7 @@
     // Guards against changes of the prompt by the daemon.
     TEST_CASE("the replica reads what the caller sent")
     {
-        entry_world w;
+        entry_fixture w;
         w.model.script = {scripted_replica::stream(1), scripted_replica::stream(1)};
         CHECK(statusOf(w.chat("t1", "one;")) == 200);
         CHECK(statusOf(w.chat("t2", "one;e1;two;")) == 200);
--- a/test/io/decoder_fuzz_test.cpp
+++ b/test/io/decoder_fuzz_test.cpp
@@ -301,9 +301,9 @@
                 return;
             RC_ASSERT(!decoded->patience || *decoded->patience >= duration::zero());
             RC_ASSERT(!decoded->tokenBudget || *decoded->tokenBudget >= 0);
-            RC_ASSERT(!decoded->tokens || decoded->tokens->mostOutput >= 0);
-            const forward_fields fields{{"i-1"}, seconds(1), 5, true, {"a"}, "4"};
-            const http_request out = encodeForward(request, fields, "body");
+            RC_ASSERT(!decoded->tokens || decoded->tokens->maxOutputTokens >= 0);
+            const forward_headers fields{{"i-1"}, seconds(1), 5, true, {"a"}, "4"};
+            const http_request out = encodeUpstreamRequest(request, fields, "body");
             RC_ASSERT(out.headers.get("X-Azurehill-Expect-Instance") == "i-1");
             RC_ASSERT(out.headers.get("X-Azurehill-Tenant") == "a");
             RC_ASSERT_FALSE(out.headers.has("Authorization"));
@@ -316,9 +316,9 @@
             response_head head{200, headersOf(text)};
             const bool isOwn = head.headers.get("X-Azurehill-Request-Id") == "r1"
                 && !head.headers.get("X-Azurehill-Server-Stamp").empty();
-            const bool isAnswer = judgeReply(head, "r1") == reply_kind::Answer;
+            const bool isAnswer = classifyReply(head, "r1") == reply_kind::Answer;
             RC_ASSERT(!isAnswer || isOwn);
-            static_cast<void>(replyHeaders(head));
+            static_cast<void>(clientReplyHeaders(head));
         });
     }
 
--- a/test/io/entry_world.h
+++ b/test/io/entry_fixture.h
@@ -44,7 +44,7 @@
     static constexpr duration silence = milliseconds(1700);
 
     /// \brief Takes no more connections, as a replica does whose host has no power.
-    void goDark() { m_acceptor.close(); }
+    void closeAcceptor() { m_acceptor.close(); }
 
     /// \returns a whole good answer with \p body.
     static std::string good(const std::string &body)
@@ -158,10 +158,10 @@
 };
 
 /// \brief An entry service with a store and replicas in one process.
-class entry_world
+class entry_fixture
 {
 public:
-    entry_world()
+    entry_fixture()
         : store(context.get_executor(), rows), a(context, "i-a", "tools"),
           b(context, "i-b", "tools"), model(context, "i-m", "model")
     {
@@ -175,13 +175,13 @@
     }
 
     /// \brief Puts a daemon that knows nothing in the place of the first one.
-    void restart(const route_book_ptr &routes = makeRoutes())
+    void restart(const routing_config_ptr &routes = makeRoutes())
     {
         settings.clients.port = port = freePort();
         begin(routes);
     }
 
-    static route_book_ptr makeRoutes()
+    static routing_config_ptr makeRoutes()
     {
         std::vector<route_rule> routes;
         routes.push_back(rule("/safe/", route_kind::Idempotent, "tools"));
@@ -192,13 +192,13 @@
         routes.push_back(rule("/chat/", route_kind::Stream, "model"));
         routes.back().retention = seconds(60);
         routes.back().isResumable = true;
-        routes.back().eventGap = milliseconds(300);
+        routes.back().maxEventGap = milliseconds(300);
         routes.back().maxAttempts = 1;
         service_rule engine;
         engine.name = "model";
         engine.engine = engine_rule{8, 100'000, 2};
-        return std::make_shared<route_book>(1, routes, std::vector<service_rule>{engine},
-                                            client_limits());
+        return std::make_shared<routing_config>(1, routes, std::vector<service_rule>{engine},
+                                                client_limits());
     }
 
     static route_rule rule(const std::string &prefix, route_kind kind, const std::string &service)
@@ -288,7 +288,7 @@
         answer = co_await exchangeRaw(context, port, std::move(request));
     }
 
-    void begin(const route_book_ptr &routes)
+    void begin(const routing_config_ptr &routes)
     {
         services.push_back(std::make_unique<entry_service>(context, settings, metrics));
         service = services.back().get();
--- a/test/io/entry_service_test.cpp
+++ b/test/io/entry_service_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 // doctest's macros are used by the world.
-#include "entry_world.h"
+#include "entry_fixture.h"
 
 namespace azurehill::test {
 
@@ -28,7 +28,7 @@
 {
     TEST_CASE("a request reaches a replica as the client sent it")
     {
-        entry_world w;
+        entry_fixture w;
         const std::string head = request("/safe/x?q=1", "r1")
             + "\r\nX-Other: kept\r\nX-Azurehill-Hold: mine\r\nKv-From: 1.2.3.4:5/x";
         CHECK(statusOf(w.ask(head, "body")) == 200);
@@ -48,7 +48,7 @@
 
     TEST_CASE("what is not the replica's whole answer never reaches the client as one")
     {
-        entry_world w;
+        entry_fixture w;
 
         SUBCASE("a success without the replica's stamp")
         {
@@ -83,7 +83,7 @@
 
     TEST_CASE("a request is sent again only where that is certainly allowed")
     {
-        entry_world w;
+        entry_fixture w;
         const std::string refusal = "HTTP/1.1 503 Service Unavailable\r\n"
                                     "X-Azurehill-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 
@@ -121,7 +121,7 @@
     TEST_CASE("connections to replicas are used again")
     {
         const paused_clock pause;
-        entry_world w;
+        entry_fixture w;
         w.service->setReplicas({w.a.entry});
 
         SUBCASE("after ten idle seconds by a request that may be sent again")
@@ -161,7 +161,7 @@
 
     TEST_CASE("a turn gets the history of its chain, byte for byte")
     {
-        entry_world w;
+        entry_fixture w;
         w.model.script = {scripted_replica::stream(2), scripted_replica::stream(1)};
         const std::string first = w.turn("t1", "", "one;");
         CHECK(statusOf(first) == 200);
@@ -188,7 +188,7 @@
     {
         // A translator's page ended in mid-sentence and was taken as finished: the replica had
         // crashed, and the daemon had closed the answer properly.
-        entry_world w;
+        entry_fixture w;
         std::string broken = scripted_replica::stream(3);
         broken.resize(broken.size() - 5);
         w.model.script = {broken + "<close>"};
@@ -200,7 +200,7 @@
 
     TEST_CASE("a budget that does not hold a turn refuses it before it runs")
     {
-        entry_world w;
+        entry_fixture w;
         w.model.script = {scripted_replica::stream(5)};
         CHECK(statusOf(w.turn("t1", "", "one;", 45)) == 200);
         CHECK(statusOf(w.turn("t2", "t1", "two;", 45)) == 402);
@@ -209,7 +209,7 @@
 
     TEST_CASE("while the store is away no turn is promised")
     {
-        entry_world w;
+        entry_fixture w;
 
         SUBCASE("a turn that would begin is refused at once, with the time to come back")
         {
@@ -246,7 +246,7 @@
     {
         // On call, the sends of a host whose replicas had all failed could not be told from those
         // of a host without traffic: the counter was there and nothing ever counted.
-        entry_world w;
+        entry_fixture w;
 
         SUBCASE("how what is sent to them ends")
         {
@@ -259,14 +259,14 @@
             dead.address.port = w.freePort();
             w.service->setReplicas({dead});
             CHECK(statusOf(w.ask(request("/safe/x", "r1"))) == 503);
-            const auto isTold = [&w] {
+            const auto isReported = [&w] {
                 return contains(w.metrics.toText({}),
                                 "azurehill_state{what=\"doubted_replicas\"} 1");
             };
             // The daemon looks at its replicas now and then while it answers other requests.
-            for (int i = 0; i < 1000 && !isTold(); ++i)
+            for (int i = 0; i < 1000 && !isReported(); ++i)
                 w.ask(request("/nowhere", "r2"));
-            CHECK(isTold());
+            CHECK(isReported());
         }
     }
 
@@ -274,17 +274,17 @@
     {
         // Right after all hosts had lost power, lessons ended with 404: a daemon had begun to
         // listen before it had read the configuration.
-        entry_world w;
+        entry_fixture w;
         w.restart(nullptr);
         CHECK(statusOf(w.ask(request("/safe/x", "r1"))) == 503);
-        w.service->setRoutes(entry_world::makeRoutes());
+        w.service->setRoutes(entry_fixture::makeRoutes());
         CHECK(statusOf(w.ask(request("/safe/x", "r2"))) == 200);
         CHECK(statusOf(w.ask(request("/none/x", "r3"))) == 404);
     }
 
     TEST_CASE("two requests in one are not taken for one")
     {
-        entry_world w;
+        entry_fixture w;
         const std::string smuggled = request("/safe/x", "r1")
             + "\r\nTransfer-Encoding: chunked"; // beside the Content-Length that ask() adds
         CHECK(statusOf(w.ask(smuggled, "0\r\n\r\nGET /safe/y HTTP/1.1\r\n\r\n")) == 400);
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -14,14 +14,15 @@
 const account_id account{"a"};
 constexpr duration step = milliseconds(20);
 
-route_book_ptr routesWith(const request_quota &quota)
+routing_config_ptr routesWith(const request_quota &quota)
 {
     account_config rule;
     rule.name = account;
     rule.quota = quota;
     auto book = account_registry::make({rule});
-    return std::make_shared<route_book>(1, std::vector<route_rule>(), std::vector<service_rule>(),
-                                        client_limits(), std::move(*book));
+    return std::make_shared<routing_config>(1, std::vector<route_rule>(),
+                                            std::vector<service_rule>(), client_limits(),
+                                            std::move(*book));
 }
 
 /// \brief A daemon reduced to borrowing and lending.
--- a/test/io/replica_follower_test.cpp
+++ b/test/io/replica_discovery_test.cpp
@@ -1,4 +1,4 @@
-#include "entry/replica_follower.h"
+#include "entry/replica_discovery.h"
 #include "fake_store.h"
 #include "loopback.h"
 
@@ -17,9 +17,9 @@
 }
 
 /// \brief A daemon with its own view of the store, which answers others.
-struct following_daemon
+struct discovery_daemon
 {
-    following_daemon(asio::io_context &context, row_store &rows, const std::string &name)
+    discovery_daemon(asio::io_context &context, row_store &rows, const std::string &name)
         : inner(rows), follower(context.get_executor(), inner,
                                 std::make_shared<peer_transport>(context.get_executor(),
                                                                  endpoint{"127.0.0.1", 1}),
@@ -35,14 +35,14 @@
     awaitable<void> answer(const http_request &request, response_writer &writer)
     {
         ++asked;
-        http_response response = follower.answerChanges(request);
+        http_response response = follower.serveChanges(request);
         co_await writer.write(std::move(response));
     }
 
     peer_digest news() const { return {address, *follower.digest(), runtime_clock::now()}; }
 
     fake_store inner;
-    replica_follower follower;
+    replica_discovery follower;
     http_server server;
     endpoint address;
     int told = 0;
@@ -56,7 +56,7 @@
     REQUIRE(rows.apply(t));
 }
 
-awaitable<void> untilTold(const following_daemon &daemon, int times)
+awaitable<void> untilUpdates(const discovery_daemon &daemon, int times)
 {
     // The store's answers take some milliseconds of the paused clock.
     while (daemon.told < times) {
@@ -75,15 +75,15 @@
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
-        following_daemon reader(context, rows, "reader");
-        following_daemon other(context, rows, "other");
+        discovery_daemon reader(context, rows, "reader");
+        discovery_daemon other(context, rows, "other");
         put(rows, "i-1", entryText(4));
         put(rows, "i-2", entryText(4));
         auto body = [&]() -> awaitable<void> {
             spawn(context.get_executor(), "follow", reader.follower.follow());
-            co_await untilTold(reader, 1);
+            co_await untilUpdates(reader, 1);
             other.follower.onDigest(reader.news());
-            co_await untilTold(other, 1);
+            co_await untilUpdates(other, 1);
         };
         runIn(context, body());
         CHECK(other.follower.replicas().size() == 2);
@@ -105,12 +105,12 @@
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
-        following_daemon other(context, rows, "other");
+        discovery_daemon other(context, rows, "other");
         put(rows, "i-1", entryText(4, "draining"));
         auto body = [&]() -> awaitable<void> {
             const endpoint nobody{"127.0.0.1", 1};
             other.follower.onDigest({nobody, {99, 1, duration::zero()}, runtime_clock::now()});
-            co_await untilTold(other, 1);
+            co_await untilUpdates(other, 1);
         };
         runIn(context, body());
         REQUIRE(other.follower.replicas().size() == 1);
@@ -125,7 +125,7 @@
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
-        following_daemon daemon(context, rows, "reader");
+        discovery_daemon daemon(context, rows, "reader");
         for (int i = 0; i < entries; ++i)
             put(rows, "i-" + std::to_string(i), entryText(4));
         const auto look = [&] {
@@ -175,10 +175,10 @@
             row_store rows;
             asio::io_context context;
             put(rows, "i-1", entryText(4));
-            std::vector<std::unique_ptr<following_daemon>> daemons;
+            std::vector<std::unique_ptr<discovery_daemon>> daemons;
             for (int i = 0; i < size; ++i) {
                 daemons.push_back(
-                    std::make_unique<following_daemon>(context, rows, "d" + std::to_string(i)));
+                    std::make_unique<discovery_daemon>(context, rows, "d" + std::to_string(i)));
                 daemons.back()->follower.setDaemons(std::size_t(size));
                 spawn(context.get_executor(), "follow", daemons.back()->follower.follow());
             }
@@ -199,20 +199,20 @@
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
-        following_daemon reader(context, rows, "reader");
+        discovery_daemon reader(context, rows, "reader");
         for (int i = 0; i < 200; ++i)
             put(rows, "i-" + std::to_string(i), entryText(4));
         auto body = [&]() -> awaitable<void> {
             spawn(context.get_executor(), "follow", reader.follower.follow());
-            co_await untilTold(reader, 1);
+            co_await untilUpdates(reader, 1);
         };
         runIn(context, body());
         http_request whole;
         whole.target = "/inner/replicas?after=0";
-        CHECK(reader.follower.answerChanges(whole).status == 200);
-        CHECK(reader.follower.answerChanges(whole).status == 503);
+        CHECK(reader.follower.serveChanges(whole).status == 200);
+        CHECK(reader.follower.serveChanges(whole).status == 503);
         runtime_clock::advance(seconds(1));
-        CHECK(reader.follower.answerChanges(whole).status == 200);
+        CHECK(reader.follower.serveChanges(whole).status == 200);
     }
 
     TEST_CASE("what is no version is refused, and nothing is handed out before there is a copy")
@@ -220,13 +220,13 @@
         const paused_clock pause;
         row_store rows;
         asio::io_context context;
-        following_daemon daemon(context, rows, "a");
+        discovery_daemon daemon(context, rows, "a");
         http_request request;
         request.target = "/inner/replicas?after=x";
-        CHECK(replica_follower::isChangesRequest(request));
-        CHECK(daemon.follower.answerChanges(request).status == 400);
+        CHECK(replica_discovery::isChangesRequest(request));
+        CHECK(daemon.follower.serveChanges(request).status == 400);
         request.target = "/inner/replicas?after=3";
-        CHECK(daemon.follower.answerChanges(request).status == 503);
+        CHECK(daemon.follower.serveChanges(request).status == 503);
     }
 }
 
--- a/test/io/store_outage_test.cpp
+++ b/test/io/store_outage_test.cpp
@@ -1,4 +1,4 @@
-#include "entry_world.h"
+#include "entry_fixture.h"
 #include "fake_store.h"
 #include "turns/turns.h"
 
@@ -76,7 +76,7 @@
             // being retried, although the store had reported for every call that it had no
             // effect. All of these writes reached the store in the second of its recovery,
             // together with the retried turns.
-            entry_world w;
+            entry_fixture w;
             int writes = 0;
             w.store.nextTrouble = [&](std::string_view path) {
                 writes += path == "/azurehill/rows-tx" ? 1 : 0;
--- a/test/io/stream_resume_test.cpp
+++ b/test/io/stream_resume_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 // doctest's macros are used by the world.
-#include "entry_world.h"
+#include "entry_fixture.h"
 
 namespace azurehill::test {
 
@@ -55,7 +55,7 @@
     // Guards against programs that fail with a replica in the middle of its answer.
     TEST_CASE("a stream goes on after the last event that the client has")
     {
-        entry_world w;
+        entry_fixture w;
 
         SUBCASE("at the replica that broke off, as no other may be asked while it lives")
         {
@@ -106,14 +106,14 @@
 
     TEST_CASE("a replica that is over is followed by another")
     {
-        entry_world w;
+        entry_fixture w;
         scripted_replica second(w.context, "i-n", "model");
         w.service->setReplicas({w.model.entry});
         w.model.script = {events(1, 1, false)};
         second.script = {events(2, 2, true)};
         // The first one is gone as soon as it has broken off.
         w.model.onReply = [&] {
-            w.model.goDark();
+            w.model.closeAcceptor();
             w.service->setReplicas({w.model.entry, second.entry});
         };
         const std::string answer = w.ask(chatHead(), "one;");
@@ -126,7 +126,7 @@
     // Guards against an answer that is cut although its replica only has too much to do.
     TEST_CASE("a silent replica is waited for as long as it takes connections")
     {
-        entry_world w;
+        entry_fixture w;
         std::string stream = events(1, 2, true);
         stream.insert(stream.find("id: 2") - 4, scripted_replica::pauseMark);
         w.model.script = {stream};
@@ -140,7 +140,7 @@
         }
         SUBCASE("a dead one is not")
         {
-            w.model.onReply = [&] { w.model.goDark(); };
+            w.model.onReply = [&] { w.model.closeAcceptor(); };
             const std::string answer = w.askInSteps(chatHead(), "one;");
             CHECK(contains(answer, "data: e1"));
             CHECK_FALSE(contains(answer, "data: e2"));
--- a/test/logic/route_book_test.cpp
+++ b/test/logic/routing_config_test.cpp
@@ -16,7 +16,7 @@
     return r;
 }
 
-std::string found(const route_book &book, std::string_view host, std::string_view path)
+std::string found(const routing_config &book, std::string_view host, std::string_view path)
 {
     const route_rule *r = book.find(host, path);
     return r ? r->name : "none";
@@ -26,10 +26,11 @@
 
 TEST_CASE("a request takes the route of its host with the longest prefix")
 {
-    const route_book book(3,
-                          {rule("short", "a.example", "/x/"), rule("long", "a.example", "/x/y/"),
-                           rule("other", "b.example", "/x/")},
-                          {}, {});
+    const routing_config book(3,
+                              {rule("short", "a.example", "/x/"),
+                               rule("long", "a.example", "/x/y/"),
+                               rule("other", "b.example", "/x/")},
+                              {}, {});
     CHECK(found(book, "a.example", "/x/1") == "short");
     CHECK(found(book, "a.example", "/x/y/1") == "long");
     CHECK(found(book, "b.example", "/x/y/1") == "other");
--- a/test/process/entry_test.cpp
+++ b/test/process/entry_test.cpp
@@ -29,10 +29,10 @@
   "services":[{"name":"tools","max_connections":10}],"limits":{}})";
 
 /// \brief A store and a replica on a thread of their own, for one azurehill-entry.
-class platform_world
+class platform_fixture
 {
 public:
-    platform_world()
+    platform_fixture()
         : m_store(m_context.get_executor(), m_rows),
           m_replica(
               m_context.get_executor(), {},
@@ -48,13 +48,13 @@
         writeSettings(8);
         m_thread = std::thread([this] { m_context.run(); });
     }
-    ~platform_world()
+    ~platform_fixture()
     {
         m_context.stop();
         m_thread.join();
     }
-    platform_world(const platform_world &) = delete;
-    platform_world &operator=(const platform_world &) = delete;
+    platform_fixture(const platform_fixture &) = delete;
+    platform_fixture &operator=(const platform_fixture &) = delete;
 
     void writeSettings(int graceSeconds)
     {
@@ -163,7 +163,7 @@
     return answer;
 }
 
-bool isReady(const platform_world &world)
+bool isReady(const platform_fixture &world)
 {
     const std::uint16_t port = world.ports()[1];
     return port != 0 && get(port, "/azurehill/ready").status == 200;
@@ -175,7 +175,7 @@
 {
     TEST_CASE("it serves once it knows the configuration and the replicas")
     {
-        platform_world world;
+        platform_fixture world;
         child entry = world.startEntry();
         REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
         const auto ports = world.ports();
@@ -220,7 +220,7 @@
         // In a rolling restart beside a silent store, each daemon logged "not_unregistered",
         // "deadline passed" a second after SIGTERM. Its row in the store was waited for whatever
         // the grace time, so a daemon with one of a second was killed in the middle of its answers.
-        platform_world world;
+        platform_fixture world;
         constexpr int graceSeconds = 1;
         world.writeSettings(graceSeconds);
         child entry = world.startEntry();
@@ -242,19 +242,19 @@
     {
         // A replica drained for planned work, crashed, and came back under its id. Its requests
         // went unserved for the rest of the day: the daemons remembered that it was leaving.
-        platform_world world;
+        platform_fixture world;
         child entry = world.startEntry();
         REQUIRE(holdsWithin(patience, [&] { return isReady(world); }));
         const auto isServed = [&] { return get(world.ports()[0], "/a/x").body == "whole"; };
         REQUIRE(isServed());
-        world.writeReplica("draining", platform_world::bornFirst, 2);
+        world.writeReplica("draining", platform_fixture::bornFirst, 2);
         REQUIRE(holdsWithin(patience, [&] { return !isServed(); }));
-        world.writeReplica("ready", platform_world::bornFirst + 5000, 1);
+        world.writeReplica("ready", platform_fixture::bornFirst + 5000, 1);
         CHECK(holdsWithin(patience, isServed));
 
         SUBCASE("and a last word of its old process, written late, changes nothing")
         {
-            world.writeReplica("draining", platform_world::bornFirst, 3);
+            world.writeReplica("draining", platform_fixture::bornFirst, 3);
             world.writeRow({"servers", "", "i-2"}, "not a replica");
             CHECK(holdsWithin(patience, [&] {
                 return entry.log().find("replica_row_unreadable") != std::string::npos;
@@ -267,7 +267,7 @@
     {
         // A collector of logs stopped reading, the pipe filled up, and every daemon of the host
         // stood still in the middle of its answers until the collector was restarted.
-        platform_world world;
+        platform_fixture world;
         const std::string log = world.folder.path() + "/entry.log";
         constexpr mode_t ownerOnly = 0600;
         REQUIRE(mkfifo(log.c_str(), ownerOnly) == 0);
@@ -289,7 +289,7 @@
 
     TEST_CASE("settings that can't be used are named, and it does not start")
     {
-        platform_world world;
+        platform_fixture world;
         std::ofstream(world.settingsPath()) << "ip = 3\n";
         child entry = world.startEntry();
         CHECK(holdsWithin(patience, [&] { return entry.exitStatus().has_value(); }));
