--- a/src/accounts/access.cpp
+++ b/src/accounts/access.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// \brief Judges each kind of credential where accounts are in force.
+/// \brief Visitor that maps each kind of credential to the access that it grants. The registry is
+/// not empty.
 struct access_checker
 {
     const account_registry &accounts;
@@ -20,18 +21,18 @@
     }
     access operator()(const key_digest &digest) const
     {
-        const account_config *const holder = accounts.holder(digest);
+        const account_config *const holder = accounts.findByKey(digest);
         return {holder ? access_verdict::Allowed : access_verdict::UnknownKey, holder};
     }
 };
 
 } // namespace
 
-access checkAccess(const account_registry &accounts, bool isPublic, const credential &said)
+access checkAccess(const account_registry &accounts, bool isPublic, const credential &presented)
 {
     if (accounts.empty())
         return {};
-    return std::visit(access_checker{accounts, isPublic}, said);
+    return std::visit(access_checker{accounts, isPublic}, presented);
 }
 
 } // namespace azurehill
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -36,8 +36,8 @@
 {
     m_routes = std::move(routes);
     m_hasQuotas.fill(false);
-    for (const auto &[name, rule] : m_routes->accounts().rules()) {
-        if (rule.quota)
+    for (const auto &[name, account] : m_routes->accounts().configs()) {
+        if (account.quota)
             m_hasQuotas.at(shardOf(name)) = true;
     }
 }
@@ -61,12 +61,12 @@
 std::optional<quota_message> credit_lender::answer(const credit_request &request)
 {
     const std::uint64_t number = request.id.number;
-    const account_config *const rule
+    const account_config *const account
         = m_routes ? m_routes->accounts().find(request.account) : nullptr;
     // The borrower may have a newer configuration than this daemon.
-    if (!rule || m_isReleased)
+    if (!account || m_isReleased)
         return std::nullopt;
-    if (!rule->quota)
+    if (!account->quota)
         return credit_lent{number};
     const std::size_t shard = shardOf(request.account);
     shard_state &state = stateOf(shard);
@@ -82,7 +82,7 @@
             return not_holder{number, preferred};
         return std::nullopt;
     }
-    const int quotaLimit = maxCreditsPerWindow(*rule->quota, m_bound);
+    const int quotaLimit = maxCreditsPerWindow(*account->quota, m_bound);
     const lend_result result
         = state.book.lend(request.account, request.id, request.use, quotaLimit, now);
     switch (result.verdict) {
@@ -142,7 +142,7 @@
 daemon_id credit_lender::holderOf(const shard_state &state) const
 {
     const bool isHeld
-        = state.foreignRow && m_view.stateOf(*state.foreignRow) == holder_state::Lives;
+        = state.foreignRow && m_view.stateOf(*state.foreignRow) == holder_state::Alive;
     return isHeld ? state.foreignRow->holder : daemon_id();
 }
 
@@ -219,7 +219,7 @@
     }
     const holder_state holderState = m_view.stateOf(*row);
     const bool isAbandoned = holderState == holder_state::NoLongerLending
-        || (holderState == holder_state::Silent && m_view.isSettled(now));
+        || (holderState == holder_state::Unreachable && m_view.isSettled(now));
     if (!isAbandoned) {
         if (state.book.isHeld())
             logDecision(log_event::QuotaShardLost,
--- a/src/quota/credit_ledger.cpp
+++ b/src/quota/credit_ledger.cpp
@@ -7,18 +7,20 @@
 
 namespace {
 
-/// Part of the credits that programs that begin may use; the rest is for those under way.
+/// Fraction of the credits that is available to the first turns of programs. The rest is kept
+/// for running programs.
 constexpr double beginFraction = 0.9;
-/// What is taken for a program's requests before any is known, and how many programs that weighs.
+/// Prior of the estimate of requests per program: the assumed mean, and its weight in programs.
 constexpr double priorRequests = 6;
 constexpr double priorPrograms = 1;
-/// After this long what was learned weighs a third.
+/// Time constant of the exponential decay of the estimate: a sample of this age weighs 1/e, about a
+/// third.
 constexpr duration memory = seconds(20);
-/// Part of the bound that is the least level, so that a few requests need no write.
+/// Minimum reservation as a fraction of the quota limit, so that a few requests need no write.
 constexpr double minReservationFraction = 0.25;
-/// Room that a level leaves above what is lent.
+/// Ratio of the reservation to the credits that are lent.
 constexpr double reservationHeadroom = 1.5;
-/// Factor by which a level that was too low grows.
+/// Factor by which a reservation that was too small grows.
 constexpr int reservationGrowthFactor = 2;
 
 } // namespace
@@ -26,36 +28,37 @@
 void credit_ledger::expire(time_point now)
 {
     while (!m_grants.empty() && m_grants.front().at + m_span < now) {
-        // Counted this late, since programs make most of their requests after they began: in a
-        // rush of new ones all would seem to make a single request.
-        learn(m_grants.front());
+        // Grants enter the estimate only when they expire, because programs make most of their
+        // requests after their first turn: during a burst of new programs, each would otherwise
+        // seem to make a single request.
+        updateRequestEstimate(m_grants.front());
         m_grantIds.erase(m_grants.front().id);
         m_grants.pop_front();
     }
     std::erase_if(m_peerCredits, [now](const peer_credits &f) { return f.until < now; });
 }
 
-const std::vector<peer_credits> &credit_ledger::foreign(time_point now)
+const std::vector<peer_credits> &credit_ledger::peerCredits(time_point now)
 {
     expire(now);
     return m_peerCredits;
 }
 
-int credit_ledger::lent(time_point now)
+int credit_ledger::lentCredits(time_point now)
 {
     expire(now);
     return static_cast<int>(m_grants.size());
 }
 
-int credit_ledger::capacity(int most, time_point now)
+int credit_ledger::lendableCredits(int quotaLimit, time_point now)
 {
-    int rest = most;
-    for (const peer_credits &share : foreign(now))
+    int rest = quotaLimit;
+    for (const peer_credits &share : peerCredits(now))
         rest -= std::min(rest, share.credits);
     return rest;
 }
 
-int credit_ledger::begins() const
+int credit_ledger::programsBegun() const
 {
     return static_cast<int>(std::count_if(m_grants.begin(), m_grants.end(), [](const grant &g) {
         return g.use == credit_use::Begin;
@@ -67,7 +70,7 @@
     return std::max(1.0, (m_requests + priorRequests) / (m_programs + priorPrograms));
 }
 
-void credit_ledger::learn(const grant &g)
+void credit_ledger::updateRequestEstimate(const grant &g)
 {
     const double age = std::chrono::duration<double>(g.at - m_estimateUpdatedAt).count()
         / std::chrono::duration<double>(memory).count();
@@ -90,9 +93,10 @@
     return m_span;
 }
 
-std::optional<duration> credit_ledger::admissionDelay(credit_use use, int most, time_point now)
+std::optional<duration> credit_ledger::admissionDelay(credit_use use, int quotaLimit,
+                                                      time_point now)
 {
-    const int all = capacity(most, now);
+    const int all = lendableCredits(quotaLimit, now);
     const int used = static_cast<int>(m_grants.size());
     const bool isBegin = use == credit_use::Begin;
     const int limit = isBegin ? static_cast<int>(std::ceil(beginFraction * all)) : all;
@@ -101,18 +105,18 @@
     if (!isBegin || used == 0)
         return std::nullopt;
     const int programs = std::max(1, static_cast<int>(all / requestsPerProgram()));
-    const int begun = begins();
+    const int begun = programsBegun();
     if (begun >= programs)
         return timeUntilExpired(begun - programs + 1, use, now);
     return std::nullopt;
 }
 
-lend_result credit_ledger::lend(const credit_id &id, credit_use use, int most, time_point now)
+lend_result credit_ledger::lend(const credit_id &id, credit_use use, int quotaLimit, time_point now)
 {
     expire(now);
     if (m_grantIds.contains(id))
         return {};
-    if (const auto wait = admissionDelay(use, most, now))
+    if (const auto wait = admissionDelay(use, quotaLimit, now))
         return {lend_verdict::OverQuota, *wait};
     if (static_cast<int>(m_grants.size()) >= m_reservedCredits)
         return {lend_verdict::ReservationTooSmall, duration::zero()};
@@ -128,16 +132,17 @@
     std::erase_if(m_grants, [&](const grant &g) { return g.id == id; });
 }
 
-int credit_ledger::targetReservation(int most, bool isReservationTooSmall, time_point now)
+int credit_ledger::targetReservation(int quotaLimit, bool isReservationTooSmall, time_point now)
 {
-    const int used = lent(now);
-    const int all = capacity(most, now);
-    const int least = static_cast<int>(std::ceil(minReservationFraction * most));
-    int wanted = std::max(least, static_cast<int>(std::ceil(reservationHeadroom * used)) + 1);
+    const int used = lentCredits(now);
+    const int all = lendableCredits(quotaLimit, now);
+    const int minReservation = static_cast<int>(std::ceil(minReservationFraction * quotaLimit));
+    int target
+        = std::max(minReservation, static_cast<int>(std::ceil(reservationHeadroom * used)) + 1);
     if (isReservationTooSmall)
-        wanted = std::max(wanted, reservationGrowthFactor * m_reservedCredits);
-    // Below what is lent the store would not know of all of it.
-    return std::max(std::min(wanted, all), used);
+        target = std::max(target, reservationGrowthFactor * m_reservedCredits);
+    // The reservation in the store must cover all credits that are lent.
+    return std::max(std::min(target, all), used);
 }
 
 } // namespace azurehill
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-/// \brief Kinds of datagrams in the order of the variant's alternatives.
+/// \brief Message kinds, in the order of the alternatives of \c quota_message. The numbers are part
+/// of the wire format.
 enum class message_kind { Request, Lent, Denied, NotHolder, Return };
 
-/// Longest time to come back that a datagram may tell.
+/// Upper bound to which a received retry delay is clamped.
 constexpr std::int64_t maxRetryAfterMs = 60'000;
 
 json::array start(message_kind kind)
@@ -31,7 +32,7 @@
     a.emplace_back(account.value);
 }
 
-/// \brief Writes each kind of message as an array, which is short.
+/// \brief Visitor that encodes a message as a JSON array, which is more compact than an object.
 struct message_writer
 {
     json::array operator()(const credit_request &m) const
@@ -79,18 +80,18 @@
     return a.at(place).to_number<std::uint64_t>();
 }
 
-credit_id idIn(const json::array &a)
+credit_id parseCreditId(const json::array &a)
 {
     return {{textAt(a, 2)}, a.at(3).to_number<std::int64_t>(), numberAt(a, 1)};
 }
 
-quota_message messageIn(const json::array &a)
+quota_message parseMessage(const json::array &a)
 {
     switch (static_cast<message_kind>(a.at(0).to_number<int>())) {
     case message_kind::Request: {
         const int use = a.at(5).to_number<int>();
         return credit_request{
-            idIn(a), {textAt(a, 4)}, use == 0 ? credit_use::Begin : credit_use::Continue};
+            parseCreditId(a), {textAt(a, 4)}, use == 0 ? credit_use::Begin : credit_use::Continue};
     }
     case message_kind::Lent:
         return credit_lent{numberAt(a, 1)};
@@ -102,9 +103,9 @@
     case message_kind::NotHolder:
         return not_holder{numberAt(a, 1), {textAt(a, 2)}};
     case message_kind::Return:
-        return credit_return{idIn(a), {textAt(a, 4)}};
+        return credit_return{parseCreditId(a), {textAt(a, 4)}};
     }
-    throw std::invalid_argument("kind of message");
+    throw std::invalid_argument("unknown message kind");
 }
 
 } // namespace
@@ -118,9 +119,9 @@
 {
     try {
         const json::value document = json::parse(text);
-        return messageIn(document.as_array());
+        return parseMessage(document.as_array());
     } catch (const std::exception &) {
-        // The caller logs the sender.
+        // The caller logs the error with the sender.
         return std::nullopt;
     }
 }
--- a/src/quota/quota_shard_state.cpp
+++ b/src/quota/quota_shard_state.cpp
@@ -15,21 +15,23 @@
         .first->second;
 }
 
-void quota_shard_state::takeOver(const std::optional<quota_row> &before, holder_state state,
+void quota_shard_state::takeOver(const std::optional<quota_row> &previousRow, holder_state state,
                                  time_point now)
 {
     m_accounts.clear();
     m_isHeld = false;
-    if (!before)
+    if (!previousRow)
         return;
-    // Credits that were lent last are used later than that, and count for a window more.
-    const duration lendsOn = state == holder_state::NoLongerLending ? duration::zero() : validity;
-    const time_point until = now + lendsOn + credit_ledger::creditLifetime + m_bound.window;
-    for (const auto &[account, level] : before->levels) {
+    // The last credits may be used up to creditLifetime after the previous holder's lease ends, and
+    // count for one window after that.
+    const duration remainingLease
+        = state == holder_state::NoLongerLending ? duration::zero() : lendingLeaseDuration;
+    const time_point until = now + remainingLease + credit_ledger::creditLifetime + m_bound.window;
+    for (const auto &[account, reservation] : previousRow->reservations) {
         credit_ledger &ledger = stateOf(account).ledger;
-        if (level.credits > 0)
-            ledger.addPeerCredits({level.credits, until});
-        for (const credit_reservation::peer_share &share : level.foreign)
+        if (reservation.credits > 0)
+            ledger.addPeerCredits({reservation.credits, until});
+        for (const credit_reservation::peer_share &share : reservation.peerCredits)
             ledger.addPeerCredits({share.credits, now + share.left});
     }
 }
@@ -37,23 +39,23 @@
 quota_row quota_shard_state::prepare(const account_registry &accounts, time_point now)
 {
     quota_row row{m_self, m_incarnation, false, {}};
-    for (const auto &[name, rule] : accounts.rules()) {
-        if (rule.quota)
+    for (const auto &[name, config] : accounts.configs()) {
+        if (config.quota)
             stateOf(name);
     }
     for (auto &[name, state] : m_accounts) {
         credit_ledger &ledger = state.ledger;
-        const account_config *const rule = accounts.find(name);
-        const bool isLimited = rule && rule->quota;
-        const int wanted = isLimited
-            ? ledger.targetReservation(maxCreditsPerWindow(*rule->quota, m_bound),
+        const account_config *const config = accounts.find(name);
+        const bool isLimited = config && config->quota;
+        const int targetCredits = isLimited
+            ? ledger.targetReservation(maxCreditsPerWindow(*config->quota, m_bound),
                                        state.isReservationTooSmall, now)
-            : ledger.lent(now);
-        ledger.setReservedCredits(std::min(ledger.level(), wanted));
-        credit_reservation &level = row.levels[name];
-        level.credits = wanted;
-        for (const peer_credits &share : ledger.foreign(now))
-            level.foreign.push_back({share.credits, share.until - now});
+            : ledger.lentCredits(now);
+        ledger.setReservedCredits(std::min(ledger.reservedCredits(), targetCredits));
+        credit_reservation &reservation = row.reservations[name];
+        reservation.credits = targetCredits;
+        for (const peer_credits &share : ledger.peerCredits(now))
+            reservation.peerCredits.push_back({share.credits, share.until - now});
     }
     return row;
 }
@@ -63,10 +65,10 @@
     m_isHeld = false;
     quota_row row{m_self, m_incarnation, true, {}};
     for (auto &[name, state] : m_accounts) {
-        credit_reservation &level = row.levels[name];
-        level.credits = state.ledger.lent(now);
-        for (const peer_credits &share : state.ledger.foreign(now))
-            level.foreign.push_back({share.credits, share.until - now});
+        credit_reservation &reservation = row.reservations[name];
+        reservation.credits = state.ledger.lentCredits(now);
+        for (const peer_credits &share : state.ledger.peerCredits(now))
+            reservation.peerCredits.push_back({share.credits, share.until - now});
     }
     return row;
 }
@@ -74,10 +76,10 @@
 void quota_shard_state::onRowWritten(const quota_row &row, time_point sentAt)
 {
     m_isHeld = true;
-    m_lendingLeaseEnd = sentAt + validity;
-    for (const auto &[name, level] : row.levels) {
+    m_lendingLeaseEnd = sentAt + lendingLeaseDuration;
+    for (const auto &[name, reservation] : row.reservations) {
         account_state &state = stateOf(name);
-        state.ledger.setReservedCredits(level.credits);
+        state.ledger.setReservedCredits(reservation.credits);
         state.isReservationTooSmall = false;
     }
 }
@@ -89,10 +91,10 @@
 }
 
 lend_result quota_shard_state::lend(const account_id &account, const credit_id &id, credit_use use,
-                                    int most, time_point now)
+                                    int quotaLimit, time_point now)
 {
     account_state &state = stateOf(account);
-    const lend_result result = state.ledger.lend(id, use, most, now);
+    const lend_result result = state.ledger.lend(id, use, quotaLimit, now);
     state.isReservationTooSmall
         = state.isReservationTooSmall || result.verdict == lend_verdict::ReservationTooSmall;
     return result;
--- a/src/quota/quota_shards.cpp
+++ b/src/quota/quota_shards.cpp
@@ -17,7 +17,8 @@
 
 row_name quotaRowName(std::size_t shard)
 {
-    // A part of its own, so that the holders' writes don't wait for each other.
+    // Each row has a partition of its own, so that writes of different holders don't wait for each
+    // other.
     const std::string name = fmt::format("{:02}", shard);
     return {std::string(quotaTable), name, name};
 }
@@ -26,10 +27,10 @@
 {
     daemon_id best;
     std::uint64_t highest = 0;
-    for (const daemon_id &one : daemons) {
-        const std::uint64_t weight = stableHash(one.value, shard + 1);
-        if (best.empty() || weight > highest || (weight == highest && one < best)) {
-            best = one;
+    for (const daemon_id &daemon : daemons) {
+        const std::uint64_t weight = stableHash(daemon.value, shard + 1);
+        if (best.empty() || weight > highest || (weight == highest && daemon < best)) {
+            best = daemon;
             highest = weight;
         }
     }
--- a/test/logic/account_test.cpp
+++ b/test/logic/account_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-account_config rule(const std::string &name, const std::vector<std::string> &keys)
+account_config accountConfig(const std::string &name, const std::vector<std::string> &keys)
 {
     account_config r;
     r.name = {name};
@@ -43,7 +43,8 @@
 
 TEST_CASE("a request is judged by the accounts in force")
 {
-    const auto book = account_registry::make({rule("a", {"k1", "k2"}), rule("b", {"k3"})});
+    const auto book
+        = account_registry::make({accountConfig("a", {"k1", "k2"}), accountConfig("b", {"k3"})});
     REQUIRE(book);
     const credential known = digestOf("k2");
     const credential unknown = digestOf("k9");
@@ -80,21 +81,22 @@
 
 TEST_CASE("accounts that can't be in force together are refused whole")
 {
-    CHECK_FALSE(account_registry::make({rule("a", {"k"}), rule("b", {"k"})}));
-    CHECK_FALSE(account_registry::make({rule("a", {"k"}), rule("a", {"l"})}));
-    CHECK_FALSE(account_registry::make({rule("", {"k"})}));
-    CHECK_FALSE(account_registry::make({rule("a\r\nX-Other: b", {"k"})}));
-    CHECK_FALSE(account_registry::make({rule(std::string(1000, 'a'), {"k"})}));
+    CHECK_FALSE(account_registry::make({accountConfig("a", {"k"}), accountConfig("b", {"k"})}));
+    CHECK_FALSE(account_registry::make({accountConfig("a", {"k"}), accountConfig("a", {"l"})}));
+    CHECK_FALSE(account_registry::make({accountConfig("", {"k"})}));
+    CHECK_FALSE(account_registry::make({accountConfig("a\r\nX-Other: b", {"k"})}));
+    CHECK_FALSE(account_registry::make({accountConfig(std::string(1000, 'a'), {"k"})}));
 
     SUBCASE("one account may name a key twice, and have none")
     {
-        CHECK(account_registry::make({rule("a", {"k", "k"}), rule("b", {})}));
+        CHECK(account_registry::make({accountConfig("a", {"k", "k"}), accountConfig("b", {})}));
     }
     SUBCASE("a key may be another account's in the next version")
     {
-        const auto next = account_registry::make({rule("a", {}), rule("b", {"k"})});
+        const auto next
+            = account_registry::make({accountConfig("a", {}), accountConfig("b", {"k"})});
         REQUIRE(next);
-        CHECK(next->holder(digestOf("k"))->name.value == "b");
+        CHECK(next->findByKey(digestOf("k"))->name.value == "b");
     }
     SUBCASE("an account holds very many keys")
     {
@@ -102,9 +104,9 @@
         keys.reserve(10'000);
         for (int i = 0; i < 10'000; ++i)
             keys.push_back(fmt::format("key-{}", i));
-        const auto book = account_registry::make({rule("a", keys)});
+        const auto book = account_registry::make({accountConfig("a", keys)});
         REQUIRE(book);
-        CHECK(book->holder(digestOf("key-9999"))->name.value == "a");
+        CHECK(book->findByKey(digestOf("key-9999"))->name.value == "a");
     }
 }
 
