--- a/src/config/config_document.cpp
+++ b/src/config/config_document.cpp
@@ -23,13 +23,13 @@
 {
     json::object o = toJson(d.head);
     json::array before;
-    for (const config_version &v : d.before)
+    for (const config_version &v : d.previous)
         before.push_back(toJson(v));
     o["before"] = std::move(before);
     return o;
 }
 
-config_version versionOf(const json::value &v)
+config_version versionFromJson(const json::value &v)
 {
     config_version result;
     result.number = v.at("version").to_number<config_number>();
@@ -45,19 +45,19 @@
     return result;
 }
 
-config_document documentOf(const json::value &v)
+config_document documentFromJson(const json::value &v)
 {
     config_document d;
-    d.head = versionOf(v);
+    d.head = versionFromJson(v);
     for (const json::value &b : v.at("before").as_array())
-        d.before.push_back(versionOf(b));
+        d.previous.push_back(versionFromJson(b));
     return d;
 }
 
-peer_config peerOf(const json::value &v)
+peer_config_response peerResponseFromJson(const json::value &v)
 {
-    peer_config p;
-    p.document = documentOf(v.at("document"));
+    peer_config_response p;
+    p.document = documentFromJson(v.at("document"));
     const json::object &o = v.as_object();
     if (const json::value *age = o.if_contains("confirmed_age_ms"))
         p.confirmedAge = milliseconds(age->to_number<std::int64_t>());
@@ -70,13 +70,13 @@
 /// \brief Reads \p text by \p convert; whatever is wrong with it is one fault, since only daemons
 /// write these texts.
 template <class Function>
-auto parsed(std::string_view text, Function convert)
-    -> tl::expected<decltype(convert(json::value())), config_fault>
+auto parseJson(std::string_view text, Function convert)
+    -> tl::expected<decltype(convert(json::value())), config_error>
 {
     try {
         return convert(json::parse(json::string_view(text.data(), text.size())));
     } catch (const std::exception &e) {
-        return tl::unexpected(config_fault{"", e.what()});
+        return tl::unexpected(config_error{"", e.what()});
     }
 }
 
@@ -92,7 +92,7 @@
     return json::serialize(toJson(d));
 }
 
-std::string toText(const peer_config &p)
+std::string toText(const peer_config_response &p)
 {
     json::object o{{"document", toJson(p.document)}};
     // Rounded up: an age or an error may only be told larger than it is.
@@ -104,19 +104,19 @@
     return json::serialize(o);
 }
 
-tl::expected<config_version, config_fault> parseConfigVersion(std::string_view text)
+tl::expected<config_version, config_error> parseConfigVersion(std::string_view text)
 {
-    return parsed(text, versionOf);
+    return parseJson(text, versionFromJson);
 }
 
-tl::expected<config_document, config_fault> parseConfigDocument(std::string_view text)
+tl::expected<config_document, config_error> parseConfigDocument(std::string_view text)
 {
-    return parsed(text, documentOf);
+    return parseJson(text, documentFromJson);
 }
 
-tl::expected<peer_config, config_fault> parsePeerConfig(std::string_view text)
+tl::expected<peer_config_response, config_error> parsePeerConfigResponse(std::string_view text)
 {
-    return parsed(text, peerOf);
+    return parseJson(text, peerResponseFromJson);
 }
 
 } // namespace azurehill
--- a/src/daemon/control_calls.cpp
+++ b/src/daemon/control_calls.cpp
@@ -150,7 +150,7 @@
         = request.deadlineMs > 0 ? std::min(request.deadlineMs, longest) : longest;
     created.deadlineUnixMs = created.createdUnixMs + limit;
     created.maxTurns = classRules->second.maxTurns;
-    created.idleMs = toMilliseconds(classRules->second.idle);
+    created.idleMs = toMilliseconds(classRules->second.idleTimeout);
 
     const program_id id = created.program;
     // A sub-agent belongs to a program under way, so it has its room.
--- a/test/io/config_store_test.cpp
+++ b/test/io/config_store_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr auto answerLimit = std::chrono::seconds(20);
+constexpr auto responseTimeout = std::chrono::seconds(20);
 
 /// \brief What becomes of the next transaction that changes the configuration.
 enum class write_fault { None, AnswerLost, RequestLost, Outage };
@@ -43,8 +43,8 @@
         if (now != write_fault::None && now != write_fault::Outage)
             fault = write_fault::None;
         if (now == write_fault::AnswerLost) {
-            silent_writer nobody;
-            co_await handler(request, nobody);
+            null_response_writer discarded;
+            co_await handler(request, discarded);
         }
         if (now == write_fault::None)
             co_await handler(request, writer);
@@ -52,7 +52,7 @@
             co_await writer.write(jsonResponse(now == write_fault::Outage ? 503 : 500, "{}"));
     }
 
-    struct silent_writer : response_writer
+    struct null_response_writer : response_writer
     {
         awaitable<bool> write(http_response) override { co_return true; }
         awaitable<bool> begin(int, header_list) override { co_return true; }
@@ -122,7 +122,7 @@
 template <class Function>
 bool runUntil(asio::io_context &context, Function done)
 {
-    const auto limit = std::chrono::steady_clock::now() + answerLimit;
+    const auto limit = std::chrono::steady_clock::now() + responseTimeout;
     while (!done() && std::chrono::steady_clock::now() < limit)
         context.run_one_for(std::chrono::milliseconds(100));
     return done();
@@ -246,7 +246,7 @@
         runtime_clock::advance(seconds(3));
         const auto decided = late.state.presetInForce();
         REQUIRE_FALSE(decided);
-        CHECK(decided.error() == preset_doubt::Unconfirmed);
+        CHECK(decided.error() == preset_unavailable_reason::Unconfirmed);
     }
 }
 
