--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief The configuration kept by the platform: its form, its checks, its text.
+/// \brief The configuration stored on the platform: its types, validation, and JSON text.
 
 #include "config/config_diff.h"
 #include "config/config_document.h"
--- a/src/config/config_diff.cpp
+++ b/src/config/config_diff.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// \brief Puts each value of \p v that is no object under its path. Arrays count as one value.
+/// \brief Stores each leaf value of \p v in \p out under its path. An array or an empty object
+/// counts as one value.
 void flatten(const json::value &v, const std::string &path, std::map<std::string, std::string> &out)
 {
     if (!v.is_object() || v.get_object().empty()) {
--- a/src/config/config_diff.h
+++ b/src/config/config_diff.h
@@ -6,18 +6,18 @@
 
 namespace azurehill {
 
-/// \brief One value that differs between two documents.
+/// \brief A value that differs between two JSON documents.
 struct config_change
 {
     /// JSON pointer.
     std::string path;
-    /// JSON texts; empty where the document has no such value.
+    /// The values as JSON text; empty if the document has no value at the path.
     std::string before;
     std::string after;
 };
 
-/// \returns what differs between two JSON texts, in the order of their paths; a text that is not
-/// JSON counts as null.
+/// \returns the differences between two JSON texts, sorted by path. A text that is not valid JSON
+/// counts as null.
 std::vector<config_change> diffJson(std::string_view before, std::string_view after);
 
 } // namespace azurehill
--- a/src/config/config_document.cpp
+++ b/src/config/config_document.cpp
@@ -67,8 +67,8 @@
     return p;
 }
 
-/// \brief Reads \p text by \p convert; whatever is wrong with it is one fault, since only daemons
-/// write these texts.
+/// \brief Parses \p text and converts it with \p convert. Any failure is reported as one error
+/// without a path, since only daemons write these texts.
 template <class Function>
 auto parseJson(std::string_view text, Function convert)
     -> tl::expected<decltype(convert(json::value())), config_error>
@@ -95,7 +95,7 @@
 std::string toText(const peer_config_response &p)
 {
     json::object o{{"document", toJson(p.document)}};
-    // Rounded up: an age or an error may only be told larger than it is.
+    // Rounded up: the receiver must never assume a smaller age or error than the real one.
     if (p.confirmedAge)
         o["confirmed_age_ms"] = toMilliseconds(*p.confirmedAge) + 1;
     if (p.nowMs)
--- a/src/config/config_document.h
+++ b/src/config/config_document.h
@@ -14,25 +14,25 @@
 
 namespace azurehill {
 
-/// \brief Number of an accepted configuration; 0 stands for none.
+/// \brief Version number of a stored configuration; 0 means that there is none.
 using config_number = std::uint64_t;
 
-/// \brief One accepted configuration. Times are milliseconds on the platform's time line.
+/// \brief A version of the configuration. Times are milliseconds by the platform's clock.
 struct config_version
 {
     config_number number = 0;
-    /// Random id of the write, by which its writer finds it again after a lost answer.
+    /// Random id of the write, by which its writer recognizes it if the response was lost.
     std::string id;
     std::string author;
-    /// The writer had read the version before this one no later than here.
+    /// Latest possible time of the proposal. The writer had read the previous version by then.
     std::int64_t acceptedMs = 0;
-    /// From here on it is in force.
+    /// Time from which this version is in effect.
     std::int64_t activateMs = 0;
     std::shared_ptr<const configuration> config;
 };
 
-/// \brief What the configuration's row holds: the newest version, and those before it that may
-/// still be in force while it waits for its activation.
+/// \brief The content of the configuration's row: the newest version, and the previous versions
+/// that may still be in effect until it activates.
 struct config_document
 {
     config_version head;
@@ -40,13 +40,14 @@
     std::vector<config_version> previous;
 };
 
-/// \brief What a daemon tells a peer that can't read the store.
+/// \brief A daemon's response to a peer that can't read the store.
 struct peer_config_response
 {
     config_document document;
-    /// How long ago the peer's own confirmation began, or nothing when it has none.
+    /// Time since the responding daemon sent the read that confirmed its head; nothing if it has no
+    /// valid confirmation.
     std::optional<duration> confirmedAge;
-    /// The platform's time as the peer estimates it, if it can.
+    /// The responding daemon's estimate of the platform's time, if it has one.
     std::optional<std::int64_t> nowMs;
     duration error{};
 };
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -4,10 +4,10 @@
 
 namespace azurehill {
 
-/// \brief One fault of a configuration document.
+/// \brief A validation error in a configuration document.
 struct config_error
 {
-    /// Where it is, as a JSON pointer such as "/tenants/school/weight".
+    /// JSON pointer to the invalid value, such as "/tenants/school/weight".
     std::string path;
     std::string reason;
 };
--- a/src/config/config_follower.cpp
+++ b/src/config/config_follower.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t maxPendingVersions = 16;
-/// What two hosts' clocks may drift apart within a validity, with room to spare.
+/// Exceeds the drift between two hosts' clocks within a confirmation's validity.
 constexpr duration clockDriftMargin = milliseconds(10);
 
 } // namespace
@@ -18,7 +18,7 @@
 {
     if (platformMs)
         m_time.addSample(sentAt, receivedAt, *platformMs);
-    // A read that shows an older head than the one known is late: it tells nothing of now.
+    // A read that returns an older head than the known one is outdated and confirms nothing.
     if (!document || !adopt(*document, receivedAt))
         return;
     m_confirmedAt = std::max(m_confirmedAt.value_or(sentAt), sentAt);
@@ -31,7 +31,8 @@
         m_time.addSample(sentAt, receivedAt, *response.nowMs, response.error);
     if (!adopt(response.document, receivedAt) || !response.confirmedAge)
         return;
-    // The peer told its age after this request was sent, so its read is no older than this.
+    // The peer computed the age after this request was sent, so its read was sent no earlier than
+    // this.
     const time_point readAt = sentAt - *response.confirmedAge;
     m_confirmedAt = std::max(m_confirmedAt.value_or(readAt), readAt);
 }
@@ -91,7 +92,7 @@
 bool config_follower::isSettled(const known_version &e, time_point now,
                                 const time_bounds &bounds) const
 {
-    // Nobody decides by anything older than the first version of all.
+    // No daemon can still use an older version than the first one.
     if (e.version.number == 1
         || now >= e.firstSeenAt + m_settings.confirmationValidity + clockDriftMargin)
         return true;
@@ -174,12 +175,13 @@
               bounds->latestMs, bounds->latestMs, std::move(config)};
     if (known == 0)
         return d;
-    // Activation times grow with the numbers, so at any instant one version is in force.
+    // Activation times increase with version numbers, so that at most one version is in effect at
+    // any instant.
     d.head.activateMs = std::max(bounds->latestMs + toMilliseconds(m_settings.activationDelay),
                                  m_entries.back().version.activateMs + 1);
     for (const known_version &e : m_entries) {
         if (e.version.activateMs <= bounds->earliestMs)
-            d.previous.clear(); // what came before this one is over everywhere
+            d.previous.clear(); // older versions are no longer in effect anywhere
         d.previous.push_back(e.version);
     }
     if (d.previous.size() >= maxPendingVersions)
--- a/src/config/config_text.cpp
+++ b/src/config/config_text.cpp
@@ -14,7 +14,7 @@
 
 using config_errors = std::vector<config_error>;
 
-/// \brief Reads the members of one JSON object, gathering faults.
+/// \brief Reads the members of a JSON object and collects validation errors.
 class object_reader
 {
 public:
@@ -27,7 +27,7 @@
             addError("", "must be an object");
     }
 
-    /// \brief Reports every key that was not read.
+    /// \brief Reports every key that was not read as unknown.
     ~object_reader()
     {
         if (!m_object)
--- a/src/config/config_text.h
+++ b/src/config/config_text.h
@@ -11,8 +11,8 @@
 
 namespace azurehill {
 
-/// \brief Reads a configuration document and checks it as a whole.
-/// \returns the configuration, or every fault with its path; unknown keys are faults.
+/// \brief Parses and validates a configuration document.
+/// \returns the configuration, or all errors with their paths. Unknown keys are errors.
 tl::expected<configuration, std::vector<config_error>> parseConfiguration(std::string_view text);
 
 /// \returns the JSON text of \p c.
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -10,7 +10,7 @@
 
 namespace azurehill {
 
-/// \brief The three presets that operators switch between. Exactly one is in force.
+/// \brief The three presets that operators switch between. Exactly one is active.
 enum class preset_name { Ordinary, Peak, Maintenance };
 
 template <>
@@ -19,22 +19,22 @@
     static constexpr std::array<std::string_view, 3> names = {"ordinary", "peak", "maintenance"};
 };
 
-/// \brief What a preset decides.
+/// \brief The limits that a preset sets.
 struct preset
 {
-    /// Largest number of programs under way in the whole system.
+    /// Maximum number of running programs in the whole system.
     std::int64_t maxPrograms = 1000;
-    /// Tokens in flight that a model replica is given at the most.
+    /// Maximum number of tokens in flight per model replica.
     std::int64_t tokensInFlightPerReplica = 200'000;
-    /// Share of the traffic that may be retries, in percent.
+    /// Maximum share of retries in the traffic, in percent.
     int retryPercent = 10;
 };
 
 struct tenant
 {
-    /// SHA-256 of the bearer token, in hexadecimal.
+    /// SHA-256 of the bearer token, as lower-case hexadecimal digits.
     std::string tokenSha256;
-    /// Share of the system under contention, relative to the other tenants.
+    /// Weight for fair sharing between tenants under contention.
     int weight = 1;
     std::int64_t maxPrograms = 500;
     std::int64_t maxBudgetTokens = 1'000'000;
@@ -44,9 +44,9 @@
 {
     int weight = 1;
     std::int64_t maxTurns = 120;
-    /// Default and longest deadline of a program.
+    /// Default and maximum time from a program's creation to its deadline.
     duration deadline = seconds(1800);
-    /// A program that makes no call for so long is ended.
+    /// A program that makes no call for this time is ended.
     duration idleTimeout = seconds(600);
     std::int64_t budgetTokens = 400'000;
 };
@@ -59,21 +59,21 @@
     static constexpr std::array<std::string_view, 3> names = {"engine", "tool", "plain"};
 };
 
-/// \brief A group of replicas that serve the same calls. The host list says which these are.
+/// \brief A group of replicas that serve the same calls. The host list names the replicas.
 struct service
 {
     service_kind kind = service_kind::Engine;
-    /// Models that an engine serves.
+    /// Models that an engine serves; other kinds need none.
     std::vector<std::string> models;
-    /// Whether its replicas refuse an order that carries an old fencing number.
+    /// Whether its replicas reject requests that carry an outdated fencing number.
     bool checksFencing = false;
-    /// Longest time a call may take.
+    /// Maximum duration of a call.
     duration callTimeout = seconds(60);
-    /// Longest silence within a stream.
+    /// Maximum time without data on a response stream.
     duration streamIdleTimeout = seconds(10);
 };
 
-/// \brief The document that operators change and every daemon follows.
+/// \brief The configuration that operators change and all daemons apply.
 struct configuration
 {
     std::map<std::string, tenant> tenants;
--- a/src/config/platform_time.cpp
+++ b/src/config/platform_time.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// A millisecond count is cut off, and so is what is derived from it.
+/// Millisecond values are truncated, as are the values derived from them.
 constexpr duration rounding = milliseconds(1);
-/// Clocks of two hosts drift apart by less than one part in this many.
+/// The drift between two hosts' clocks is less than elapsed time divided by this.
 constexpr std::int64_t driftDivisor = 5000;
 
 } // namespace
--- a/src/config/platform_time.h
+++ b/src/config/platform_time.h
@@ -7,24 +7,26 @@
 
 namespace azurehill {
 
-/// \brief The platform's time as it can be known here: it is certainly within the bounds.
+/// \brief An interval that certainly contains the platform's time.
 struct time_bounds
 {
     std::int64_t earliestMs = 0;
     std::int64_t latestMs = 0;
 };
 
-/// \brief Estimates the platform's time from answers that carry it.
+/// \brief Estimates the platform's clock from responses that carry its time, by Cristian's
+/// algorithm.
 ///
-/// An answer's time was taken between the request and the answer, so the middle of the two is wrong
-/// by half the round trip at the most. The best sample is kept while its error grows with drift.
+/// The time in a response was taken between request and response, so assigning it to the middle of
+/// the two is wrong by up to half the round trip. The sample with the smallest error is kept, where
+/// the error of the kept sample grows with clock drift.
 class platform_time
 {
 public:
-    /// \brief Takes in an answer with the platform's time \p nowMs, itself wrong by \p error.
+    /// \brief Adds a response with the platform's time \p nowMs, whose own error is up to \p error.
     void addSample(time_point sentAt, time_point receivedAt, std::int64_t nowMs,
                    duration error = {});
-    /// \returns the platform's time at \p now, or nothing before the first sample.
+    /// \returns bounds of the platform's time at \p now, or nothing before the first sample.
     std::optional<time_bounds> at(time_point now) const;
 
 private:
--- a/test/io/config_store_test.cpp
+++ b/test/io/config_store_test.cpp
@@ -10,7 +10,8 @@
 
 constexpr auto responseTimeout = std::chrono::seconds(20);
 
-/// \brief What becomes of the next transaction that changes the configuration.
+/// \brief Fault injected into the next transaction that changes the configuration. An outage lasts
+/// and affects all requests.
 enum class write_fault { None, AnswerLost, RequestLost, Outage };
 
 std::shared_ptr<const configuration> configWith(preset_name active)
@@ -66,7 +67,7 @@
     std::uint16_t port = 0;
 };
 
-/// \brief The control part of a daemon, with its inner listener.
+/// \brief A daemon's control object, with its internal HTTP listener.
 struct daemon_parts
 {
     daemon_parts(asio::io_context &context, const std::string &name, std::uint16_t platformPort,
@@ -89,7 +90,7 @@
         s.platform = {"127.0.0.1", platformPort};
         s.peers = std::move(peers);
         s.innerToken = "secret";
-        // Longer than any step of the clock here, so that only the preset is in doubt.
+        // Longer than any clock step in these tests, so that only the preset becomes unavailable.
         s.lease = {seconds(60), seconds(20), seconds(6)};
         return s;
     }
@@ -101,7 +102,7 @@
     std::uint16_t innerPort = 0;
 };
 
-/// \brief Stops the project's clock for the length of a test.
+/// \brief Pauses the runtime clock during its lifetime.
 struct paused_clock
 {
     paused_clock() { runtime_clock::pause(); }
@@ -118,7 +119,8 @@
     result = co_await c.storeConfig(configWith(active), std::move(author), expected);
 }
 
-/// \brief Runs \p context until \p done says so.
+/// \brief Runs \p context until \p done returns true or the time limit is reached.
+/// \returns whether \p done returned true.
 template <class Function>
 bool runUntil(asio::io_context &context, Function done)
 {
@@ -175,8 +177,8 @@
     }
     SUBCASE("a write whose answer is lost after it took effect")
     {
-        // The operator sees success; the platform had the change before its answer got lost. The
-        // repeated write meets a conflict, and the row's id shows that the conflict is our own.
+        // The platform stored the change before its response was lost, so the retry gets a
+        // conflict. The id in the stored row shows that it is the same write, which is a success.
         platform.fault = write_fault::AnswerLost;
         const auto second = storeAt(a, preset_name::Peak, 1);
         REQUIRE(second);
@@ -231,8 +233,8 @@
 
 TEST_CASE_FIXTURE(fixture, "A daemon that starts in an outage takes the configuration from a peer")
 {
-    // The platform goes down; a host restarts its daemon. Without a peer it would know no tenants
-    // and turn every caller away for as long as the outage lasts.
+    // Guards against a daemon that is restarted while the platform is down, knows no tenants, and
+    // rejects every caller until the platform is back.
     REQUIRE(storeAt(a, preset_name::Peak, 0));
     platform.fault = write_fault::Outage;
     daemon_parts late(context, "late", platform.port, {{"127.0.0.1", a.innerPort}});
@@ -252,9 +254,8 @@
 
 TEST_CASE_FIXTURE(fixture, "A daemon that can't confirm the preset refuses new programs")
 {
-    // A daemon is cut from the platform while its lease still runs. Operators switch to
-    // maintenance, which admits fewer programs; it can't know, and must not admit by the old
-    // preset.
+    // Guards against admission by an outdated preset: a daemon loses the platform while its lease
+    // is valid, and operators switch to maintenance, which admits fewer programs.
     REQUIRE(storeAt(a, preset_name::Ordinary, 0));
     daemon_parts cut(context, "cut", platform.port);
     cut.state.start();
--- a/test/logic/config_follower_test.cpp
+++ b/test/logic/config_follower_test.cpp
@@ -26,7 +26,7 @@
     return time_point(milliseconds(ms));
 }
 
-/// \brief The n-th version, which is in force from \p activateMs on.
+/// \brief Creates a document with version \p n, which is in effect from \p activateMs on.
 config_document versionOf(config_number n, std::int64_t acceptedMs, std::int64_t activateMs)
 {
     return {{n, "id" + std::to_string(n), "ana", acceptedMs, activateMs, anyConfig()}, {}};
@@ -38,19 +38,19 @@
     return p ? std::nullopt : std::optional(p.error());
 }
 
-/// \returns why no version decides; nothing when one does.
+/// \returns the reason why no version is in effect, or nothing if one is.
 std::optional<preset_unavailable_reason> unavailableReason(const config_follower &f, time_point now)
 {
     const auto decided = f.effectiveVersion(now);
     return decided ? std::nullopt : std::optional(decided.error());
 }
 
-/// \brief Head of the store, and how it came there.
+/// \brief Model of the store: all accepted documents, of which the last is the head.
 struct store_model
 {
     std::vector<config_document> accepted;
 
-    /// \brief Applies the write of \p d if it was made to the version that is there.
+    /// \brief Stores \p d if it is based on the stored version.
     bool write(const config_document &d)
     {
         if (d.head.number != accepted.size() + 1)
@@ -64,7 +64,7 @@
     }
 };
 
-/// \brief An answer or a write on its way.
+/// \brief A read, peer request or write in flight.
 struct message
 {
     std::int64_t storeAt = 0;
@@ -78,7 +78,7 @@
     std::int64_t platformMs = 0;
 };
 
-/// \brief A daemon of the simulation, whose clock shows another time than the platform's.
+/// \brief A simulated daemon, whose clock has an offset from the platform's.
 struct node
 {
     config_follower follower;
@@ -99,7 +99,7 @@
 class simulation
 {
 public:
-    /// \param faulty whether messages get lost or late and daemons cut off.
+    /// \param faulty whether messages are lost or delayed and daemons disconnected.
     explicit simulation(bool faulty) : m_faulty(faulty), m_nodes(4)
     {
         for (node &n : m_nodes) {
@@ -113,7 +113,7 @@
         for (int i = 0; i < writes; ++i)
             m_writeTimes.push_back(
                 startMs + *rc::gen::inRange<std::int64_t>(0, durationMs / stepMs) * stepMs);
-        // The first configuration, and a race of two operators.
+        // The first configuration, and two operators who write at the same time.
         m_writeTimes.push_back(startMs + 1000);
         m_raceAt = startMs + 8000;
     }
@@ -141,7 +141,7 @@
     {
         if (!m_faulty)
             return *rc::gen::inRange<std::int64_t>(1, 100);
-        // A write may stay on its way for longer than the activation delay.
+        // A write may be in flight for longer than the activation delay.
         const std::int64_t longest = *rc::gen::inRange(0, 8) == 0 ? (write ? 9000 : 3000) : 300;
         return *rc::gen::inRange<std::int64_t>(1, longest);
     }
@@ -189,7 +189,7 @@
             if (!m.reachedStore && now >= m.storeAt) {
                 m.reachedStore = true;
                 if (m.isWrite) {
-                    // What is lost of a write may be its answer only.
+                    // A lost write still takes effect: only its response is lost.
                     if (m_store.write(*m.document))
                         m_acceptedAt[m.document->head.number] = now;
                 } else if (!m.peer) {
@@ -218,8 +218,8 @@
             const auto v = n.follower.effectiveVersion(n.clock(now));
             if (v) {
                 RC_ASSERT(v->number >= n.lastUsed); // never reverts
-                RC_ASSERT(!used || *used == v->number); // one preset at an instant
-                RC_ASSERT(m_store.accepted[v->number - 1].head.id == v->id); // the winner's
+                RC_ASSERT(!used || *used == v->number); // one preset at any instant
+                RC_ASSERT(m_store.accepted[v->number - 1].head.id == v->id); // the accepted write
                 RC_ASSERT(v->activateMs <= now);
                 used = v->number;
                 n.lastUsed = v->number;
@@ -235,12 +235,12 @@
             n.lastEffectiveMs = now;
         if (n.lastUsed == 0)
             return;
-        // Nobody refuses work for longer than the errors of the clock around each change.
+        // A preset is unavailable around each change no longer than the clock's error requires.
         const auto changes = static_cast<std::int64_t>(m_acceptedAt.size());
         RC_ASSERT(now - n.lastEffectiveMs <= 300 * changes);
         for (const auto &[number, acceptedAt] : m_acceptedAt) {
             if (now >= acceptedAt + 5000)
-                RC_ASSERT(n.lastUsed >= number); // in force everywhere within 5 s
+                RC_ASSERT(n.lastUsed >= number); // in effect everywhere within 5 s
         }
     }
 
@@ -303,10 +303,10 @@
 
 TEST_CASE("A version whose write was late is used only when nobody can miss it")
 {
-    // An operator's write stayed on its way until after its activation time. A daemon that read the
-    // store just before still decides by the old preset, rightly as far as it can know. A daemon
-    // that reads just after sees a version whose time has come: if it used it at once, two presets
-    // would be in force.
+    // Guards against two presets in effect at once when a write reaches the store only after its
+    // activation time. A daemon that read the store just before the write may still use the old
+    // preset. A daemon that reads just after sees a version whose activation time has passed, and
+    // must not use it immediately.
     config_follower before;
     config_follower after;
     for (config_follower *f : {&before, &after})
