--- a/src/client/explain.cpp
+++ b/src/client/explain.cpp
@@ -17,7 +17,7 @@
         fmt::print(stderr, "azurehill-ctl: explain needs the id of a request or a program\n");
         return BadUsage;
     }
-    log_lines lines;
+    parsed_log lines;
     if (words.size() == wordsBeforeFiles)
         readLog(std::cin, "-", lines);
     for (std::size_t i = wordsBeforeFiles; i < words.size(); ++i) {
@@ -28,7 +28,7 @@
         }
         readLog(file, words[i], lines);
     }
-    fmt::print("{}", tellStory(lines, words[1]));
+    fmt::print("{}", formatTimeline(lines, words[1]));
     return Done;
 }
 
--- a/src/entry/engine_admission.cpp
+++ b/src/entry/engine_admission.cpp
@@ -38,7 +38,7 @@
 void logAdmission(const entry_call &call, const admission_request &ticket,
                   const concurrency_limiter &gate, bool granted, duration waited)
 {
-    logDecision(granted ? log_event::PlaceGranted : log_event::PlaceNotGranted,
+    logDecision(granted ? log_event::RequestAdmitted : log_event::RequestNotAdmitted,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
                  {"previous", call.request.previousTurn.value},
@@ -77,7 +77,7 @@
 
 void engine_admission::addService(const std::string &service)
 {
-    if (m_mechanisms.has(mechanism::EngineGate))
+    if (m_mechanisms.has(mechanism::EngineAdmission))
         m_gates.try_emplace(service, m_mechanisms);
 }
 
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -81,8 +81,8 @@
 {
     m_pacedStore.setRates(m_settings.storeWritesPerSecond, m_daemons);
     m_pacedStore.setMerging(m_settings.storeSpansParts
-                            && m_settings.mechanisms.has(mechanism::MergedWrites));
-    spawn(m_executor, "watchOutages", m_store.watchOutages());
+                            && m_settings.mechanisms.has(mechanism::BatchedWrites));
+    spawn(m_executor, "watchOutages", m_store.probeDuringOutages());
     spawn(m_executor, "sweep", sweep());
     spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
@@ -196,7 +196,7 @@
     if (decoded && m_routes)
         call->route = m_routes->find(call->request.hostname, call->path);
     if (call->route)
-        allowed = judgeAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
+        allowed = checkAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
     if (!decoded) {
         detail = std::move(decoded.error());
     } else if (!m_routes) {
@@ -258,7 +258,7 @@
     if (!call->account || !call->account->quota)
         co_return true;
     const bool isProgramStart = call->route->keepsHistory && call->request.previousTurn.empty();
-    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::GoOn;
+    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::Continue;
     account_id account = call->accountName();
     const time_point began = runtime_clock::now();
     const auto waitLimit
@@ -336,7 +336,8 @@
             co_return;
         }
         m_sender.finish(*call, *reply, send_outcome::Answered);
-        http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
+        http_response response{reply->head.status, clientReplyHeaders(reply->head),
+                               std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
     }
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -94,7 +94,7 @@
     const route_rule *const route = m_routes->find(call.request.hostname, call.path);
     if (!route)
         return false;
-    const access current = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
+    const access current = checkAccess(m_routes->accounts(), route->isPublic, call.request.key);
     const account_id holder = current.account ? current.account->name : account_id();
     return current.verdict == access_verdict::Allowed && holder == call.accountName();
 }
@@ -133,7 +133,7 @@
         = co_await connection.connect(address, runtime_clock::now() + connectTimeout);
     const time_point now = runtime_clock::now();
     m_probedReplicas.erase(who);
-    logDecision(log_event::SilenceChecked,
+    logDecision(log_event::SilentReplicaProbed,
                 {{"replica", who.id.value}, {"alive", connected.has_value()}});
     const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
@@ -189,7 +189,7 @@
     const forward_headers fields{where.replica.incarnation.id, call->deadline - now,
                                  call->rank.urgency,           !call->routes->accounts().empty(),
                                  call->accountName(),          call->lastEventId};
-    http_request out = encodeForward(original, fields, std::move(body));
+    http_request out = encodeUpstreamRequest(original, fields, std::move(body));
     logDecision(log_event::Sent,
                 {{"request", call->request.id},
                  {"program", call->request.program.value},
@@ -219,7 +219,7 @@
         co_return tl::unexpected(send_failure{end, head.error().detail});
     }
     call->lastByteAt = runtime_clock::now();
-    const reply_kind kind = judgeReply(*head, call->request.id);
+    const reply_kind kind = classifyReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
         // The response time of a failure says nothing about how long answers take.
         if (head->status < minFailureStatus)
