--- a/src/config/config_document.cpp
+++ b/src/config/config_document.cpp
@@ -23,13 +23,13 @@
 {
     json::object o = toJson(d.head);
     json::array before;
-    for (const config_version &v : d.before)
+    for (const config_version &v : d.previous)
         before.push_back(toJson(v));
     o["before"] = std::move(before);
     return o;
 }
 
-config_version versionOf(const json::value &v)
+config_version versionFromJson(const json::value &v)
 {
     config_version result;
     result.number = v.at("version").to_number<config_number>();
@@ -48,9 +48,9 @@
 config_document documentFromJson(const json::value &v)
 {
     config_document d;
-    d.head = versionOf(v);
+    d.head = versionFromJson(v);
     for (const json::value &b : v.at("before").as_array())
-        d.before.push_back(versionOf(b));
+        d.previous.push_back(versionFromJson(b));
     return d;
 }
 
@@ -67,10 +67,10 @@
     return p;
 }
 
-/// \brief Reads \p text by \p convert; whatever is wrong with it is one fault, since only daemons
-/// write these texts.
+/// \brief Parses \p text and converts it with \p convert. Any failure is reported as one error
+/// without a path, since only daemons write these texts.
 template <class Function>
-auto parsed(std::string_view text, Function convert)
+auto parseJson(std::string_view text, Function convert)
     -> tl::expected<decltype(convert(json::value())), config_error>
 {
     try {
@@ -95,7 +95,7 @@
 std::string toText(const peer_config_response &p)
 {
     json::object o{{"document", toJson(p.document)}};
-    // Rounded up: an age or an error may only be told larger than it is.
+    // Rounded up: the receiver must never assume a smaller age or error than the real one.
     if (p.confirmedAge)
         o["confirmed_age_ms"] = toMilliseconds(*p.confirmedAge) + 1;
     if (p.nowMs)
@@ -106,17 +106,17 @@
 
 tl::expected<config_version, config_error> parseConfigVersion(std::string_view text)
 {
-    return parsed(text, versionOf);
+    return parseJson(text, versionFromJson);
 }
 
 tl::expected<config_document, config_error> parseConfigDocument(std::string_view text)
 {
-    return parsed(text, documentFromJson);
+    return parseJson(text, documentFromJson);
 }
 
 tl::expected<peer_config_response, config_error> parsePeerConfigResponse(std::string_view text)
 {
-    return parsed(text, peerResponseFromJson);
+    return parseJson(text, peerResponseFromJson);
 }
 
 } // namespace azurehill
--- a/src/config/config_follower.cpp
+++ b/src/config/config_follower.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t maxPendingVersions = 16;
-/// What two hosts' clocks may drift apart within a validity, with room to spare.
+/// Exceeds the drift between two hosts' clocks within a confirmation's validity.
 constexpr duration clockDriftMargin = milliseconds(10);
 
 } // namespace
@@ -18,21 +18,22 @@
 {
     if (platformMs)
         m_time.addSample(sentAt, receivedAt, *platformMs);
-    // A read that shows an older head than the one known is late: it tells nothing of now.
+    // A read that returns an older head than the known one is outdated and confirms nothing.
     if (!document || !adopt(*document, receivedAt))
         return;
     m_confirmedAt = std::max(m_confirmedAt.value_or(sentAt), sentAt);
 }
 
 void config_follower::onPeerResponse(time_point sentAt, time_point receivedAt,
-                                     peer_config_response answer)
+                                     peer_config_response response)
 {
-    if (answer.nowMs)
-        m_time.addSample(sentAt, receivedAt, *answer.nowMs, answer.error);
-    if (!adopt(answer.document, receivedAt) || !answer.confirmedAge)
+    if (response.nowMs)
+        m_time.addSample(sentAt, receivedAt, *response.nowMs, response.error);
+    if (!adopt(response.document, receivedAt) || !response.confirmedAge)
         return;
-    // The peer told its age after this request was sent, so its read is no older than this.
-    const time_point readAt = sentAt - *answer.confirmedAge;
+    // The peer computed the age after this request was sent, so its read was sent no earlier than
+    // this.
+    const time_point readAt = sentAt - *response.confirmedAge;
     m_confirmedAt = std::max(m_confirmedAt.value_or(readAt), readAt);
 }
 
@@ -43,7 +44,7 @@
         return false;
     if (document.head.number == known)
         return true;
-    std::vector<config_version> versions = document.before;
+    std::vector<config_version> versions = document.previous;
     versions.push_back(document.head);
     for (const config_version &v : versions) {
         if (v.number <= known)
@@ -70,7 +71,7 @@
         m_storePolledAt = now;
         actions.push_back(config_action::ReadStore);
     }
-    const bool late = !m_confirmedAt || now >= *m_confirmedAt + m_settings.validity;
+    const bool late = !m_confirmedAt || now >= *m_confirmedAt + m_settings.confirmationValidity;
     if (late && (!m_peersQueriedAt || now >= *m_peersQueriedAt + m_settings.storePollInterval)) {
         m_peersQueriedAt = now;
         actions.push_back(config_action::QueryPeers);
@@ -78,31 +79,34 @@
     return actions;
 }
 
-time_point config_follower::wakeAt(time_point now) const
+time_point config_follower::nextPollAt(time_point now) const
 {
     return m_storePolledAt ? std::max(now, *m_storePolledAt + m_settings.storePollInterval) : now;
 }
 
 bool config_follower::isConfirmed(time_point now) const
 {
-    return m_confirmedAt && now < *m_confirmedAt + m_settings.validity;
+    return m_confirmedAt && now < *m_confirmedAt + m_settings.confirmationValidity;
 }
 
-bool config_follower::isSettled(const entry &e, time_point now, const time_bounds &bounds) const
+bool config_follower::isSettled(const known_version &e, time_point now,
+                                const time_bounds &bounds) const
 {
-    // Nobody decides by anything older than the first version of all.
-    if (e.version.number == 1 || now >= e.firstSeenAt + m_settings.validity + clockDriftMargin)
+    // No daemon can still use an older version than the first one.
+    if (e.version.number == 1
+        || now >= e.firstSeenAt + m_settings.confirmationValidity + clockDriftMargin)
         return true;
     if (bounds.earliestMs >= e.version.acceptedMs
-            + toMilliseconds(m_settings.lateWriteTimeout + m_settings.validity + clockDriftMargin))
+            + toMilliseconds(m_settings.lateWriteTimeout + m_settings.confirmationValidity
+                             + clockDriftMargin))
         return true;
     return e.effectiveBeforeMs
-        && bounds.earliestMs
-        >= *e.effectiveBeforeMs + toMilliseconds(m_settings.validity + clockDriftMargin);
+        && bounds.earliestMs >= *e.effectiveBeforeMs
+            + toMilliseconds(m_settings.confirmationValidity + clockDriftMargin);
 }
 
 tl::expected<config_version, preset_unavailable_reason>
-config_follower::inForce(time_point now) const
+config_follower::effectiveVersion(time_point now) const
 {
     if (m_entries.empty())
         return tl::unexpected(preset_unavailable_reason::NoConfiguration);
@@ -121,7 +125,7 @@
     return tl::unexpected(preset_unavailable_reason::Changing);
 }
 
-std::optional<config_version> config_follower::current(time_point now) const
+std::optional<config_version> config_follower::bestEffortVersion(time_point now) const
 {
     if (m_entries.empty())
         return std::nullopt;
@@ -138,14 +142,14 @@
     return m_entries.empty() ? std::nullopt : std::optional(m_entries.back().version);
 }
 
-std::optional<peer_config_response> config_follower::forPeer(time_point now) const
+std::optional<peer_config_response> config_follower::makePeerResponse(time_point now) const
 {
     if (m_entries.empty())
         return std::nullopt;
     peer_config_response p;
     p.document.head = m_entries.back().version;
     for (std::size_t i = 0; i + 1 < m_entries.size(); ++i)
-        p.document.before.push_back(m_entries[i].version);
+        p.document.previous.push_back(m_entries[i].version);
     if (isConfirmed(now))
         p.confirmedAge = now - *m_confirmedAt;
     if (const auto bounds = m_time.at(now)) {
@@ -171,15 +175,16 @@
               bounds->latestMs, bounds->latestMs, std::move(config)};
     if (known == 0)
         return d;
-    // Activation times grow with the numbers, so at any instant one version is in force.
+    // Activation times increase with version numbers, so that at most one version is in effect at
+    // any instant.
     d.head.activateMs = std::max(bounds->latestMs + toMilliseconds(m_settings.activationDelay),
                                  m_entries.back().version.activateMs + 1);
-    for (const entry &e : m_entries) {
+    for (const known_version &e : m_entries) {
         if (e.version.activateMs <= bounds->earliestMs)
-            d.before.clear(); // what came before this one is over everywhere
-        d.before.push_back(e.version);
+            d.previous.clear(); // older versions are no longer in effect anywhere
+        d.previous.push_back(e.version);
     }
-    if (d.before.size() >= maxPendingVersions)
+    if (d.previous.size() >= maxPendingVersions)
         return tl::unexpected(proposal_error::TooManyWaiting);
     return d;
 }
--- a/src/daemon/control_config.cpp
+++ b/src/daemon/control_config.cpp
@@ -39,7 +39,7 @@
         }
         useCurrentConfig();
         const time_point now = runtime_clock::now();
-        co_await sleepFor(std::min(configStep, m_follower.wakeAt(now) - now));
+        co_await sleepFor(std::min(configStep, m_follower.nextPollAt(now) - now));
     }
 }
 
@@ -68,7 +68,7 @@
 
 void control::useCurrentConfig()
 {
-    const auto current = m_follower.current(runtime_clock::now());
+    const auto current = m_follower.bestEffortVersion(runtime_clock::now());
     if (!current || current->number == m_configVersion)
         return;
     m_config = current->config;
@@ -104,14 +104,14 @@
         if (!answer)
             continue;
         m_follower.onPeerResponse(sentAt, runtime_clock::now(), std::move(*answer));
-        if (m_follower.inForce(runtime_clock::now()))
+        if (m_follower.effectiveVersion(runtime_clock::now()))
             co_return;
     }
 }
 
 tl::expected<config_version, preset_unavailable_reason> control::configInForce() const
 {
-    return m_follower.inForce(runtime_clock::now());
+    return m_follower.effectiveVersion(runtime_clock::now());
 }
 
 tl::expected<preset, preset_unavailable_reason> control::presetInForce() const
@@ -121,7 +121,7 @@
 
 std::optional<peer_config_response> control::configForPeer() const
 {
-    return m_follower.forPeer(runtime_clock::now());
+    return m_follower.makePeerResponse(runtime_clock::now());
 }
 
 awaitable<std::optional<config_version>> control::newestConfig()
