--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -438,8 +438,8 @@
 
 void entry_control::forwardPeerReports() const
 {
-    m_events.onAdmissionReports(m_membership.demandReportsHeard());
-    std::vector<replica_reports> reports = m_membership.replicaReportsHeard();
+    m_events.onAdmissionReports(m_membership.receivedDemandReports());
+    std::vector<replica_reports> reports = m_membership.receivedReplicaReports();
     if (!reports.empty() && m_events.onReplicaReports)
         m_events.onReplicaReports(std::move(reports));
 }
