--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -374,8 +374,8 @@
 {
     updateReplicaDigest();
     send(m_membership.onMessage(message, from, runtime_clock::now()));
-    for (const peer_digest &news : m_membership.takeDigests())
-        m_replicas.onDigest(news);
+    for (const peer_digest &digest : m_membership.takeDigests())
+        m_replicas.onDigest(digest);
     logMembers();
 }
 
@@ -438,8 +438,8 @@
 
 void entry_control::forwardPeerReports() const
 {
-    m_events.onAdmissionReports(m_membership.demandReportsHeard());
-    std::vector<replica_reports> reports = m_membership.replicaReportsHeard();
+    m_events.onAdmissionReports(m_membership.receivedDemandReports());
+    std::vector<replica_reports> reports = m_membership.receivedReplicaReports();
     if (!reports.empty() && m_events.onReplicaReports)
         m_events.onReplicaReports(std::move(reports));
 }
--- a/src/entry/response_relay.cpp
+++ b/src/entry/response_relay.cpp
@@ -38,11 +38,11 @@
 
 } // namespace
 
-response_relay::response_relay(upstream_sender &sender, replica_load_balancer &board,
+response_relay::response_relay(upstream_sender &sender, replica_load_balancer &loadBalancer,
                                engine_admission &admission, local_reply_writer &localReplies,
                                entry_metrics &metrics)
-    : m_sender(sender), m_board(board), m_engineAdmission(admission), m_localReplies(localReplies),
-      m_metrics(metrics)
+    : m_sender(sender), m_loadBalancer(loadBalancer), m_engineAdmission(admission),
+      m_localReplies(localReplies), m_metrics(metrics)
 { }
 
 awaitable<bool> response_relay::readBody(entry_call_ptr call, open_reply &reply, std::string &body)
@@ -163,7 +163,7 @@
             firstAt = call->lastByteAt;
             m_metrics.onPhase(call->route->name, request_phase::FirstByte, *firstAt - call->sentAt);
         }
-        m_board.onBytesReceived(reply.where.replica.incarnation, call->lastByteAt);
+        m_loadBalancer.onBytesReceived(reply.where.replica.incarnation, call->lastByteAt);
         const std::string bytes = parseChunk(*call, events, *chunk, stream);
         if (!bytes.empty())
             stream.isClientConnected = co_await writer.writeChunk(bytes);
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -81,7 +81,7 @@
             return not_holder{number, preferred};
         return std::nullopt;
     }
-    const int quotaLimit = mostCredits(*rule->quota, m_bound);
+    const int quotaLimit = maxCreditsPerWindow(*rule->quota, m_bound);
     const lend_result result
         = state.book.lend(request.account, request.id, request.use, quotaLimit, now);
     switch (result.verdict) {
--- a/src/quota/quota_book.cpp
+++ b/src/quota/quota_book.cpp
@@ -45,7 +45,7 @@
         const account_rule *const rule = accounts.find(name);
         const bool isLimited = rule && rule->quota;
         const int wanted = isLimited
-            ? ledger.wantedLevel(mostCredits(*rule->quota, m_bound), state.isShort, now)
+            ? ledger.wantedLevel(maxCreditsPerWindow(*rule->quota, m_bound), state.isShort, now)
             : ledger.lent(now);
         ledger.setLevel(std::min(ledger.level(), wanted));
         quota_level &level = row.levels[name];
--- a/src/quota/quota_bound.cpp
+++ b/src/quota/quota_bound.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-int mostCredits(const request_quota &quota, const quota_bound &bound)
+int maxCreditsPerWindow(const request_quota &quota, const quota_bound &bound)
 {
     const double span = std::chrono::duration<double>(bound.window).count();
     const double limit = quota.perSecond * span + quota.burst;
--- a/src/rows/unreadable_row_log.cpp
+++ b/src/rows/unreadable_row_log.cpp
@@ -14,10 +14,10 @@
 {
     if (m_loggedVersions.size() >= maxLoggedRows && !m_loggedVersions.contains(row.name))
         m_loggedVersions.clear();
-    const auto [told, isNew] = m_loggedVersions.try_emplace(row.name, row.version);
-    if (!isNew && told->second == row.version)
+    const auto [logged, isNew] = m_loggedVersions.try_emplace(row.name, row.version);
+    if (!isNew && logged->second == row.version)
         return;
-    told->second = row.version;
+    logged->second = row.version;
     logDecision(event,
                 {{"table", row.name.table},
                  {"part", row.name.partition},
--- a/src/rows/write_queue.cpp
+++ b/src/rows/write_queue.cpp
@@ -105,8 +105,8 @@
     // A row may occur only once in a transaction: with two changes to one row, a failed condition
     // could not be attributed to either.
     const std::set<row_name> taken = namesOf(batch);
-    const std::set<row_name> wanted = namesOf(t);
-    return std::none_of(wanted.begin(), wanted.end(),
+    const std::set<row_name> names = namesOf(t);
+    return std::none_of(names.begin(), names.end(),
                         [&](const row_name &name) { return taken.contains(name); });
 }
 
--- a/test/io/account_access_test.cpp
+++ b/test/io/account_access_test.cpp
@@ -174,7 +174,7 @@
         self.serving = true;
         self.storeReachable = true;
         w.service->setMembers(self, {});
-        const int maxServed = mostCredits({1, 1}, w.settings.quota);
+        const int maxServed = maxCreditsPerWindow({1, 1}, w.settings.quota);
         int served = 0;
         std::string last;
         for (int i = 0; i < maxServed + 5; ++i) {
--- a/test/logic/quota_book_test.cpp
+++ b/test/logic/quota_book_test.cpp
@@ -97,7 +97,7 @@
         quota_book &book = *m_daemons[i].book;
         if (!book.mayLend(m_now))
             return;
-        const int most = mostCredits(quota, m_bound);
+        const int most = maxCreditsPerWindow(quota, m_bound);
         const credit_id id{name(i), 0, ++m_number};
         if (book.lend(account, id, use, most, m_now).verdict == lend_verdict::Lent)
             m_uses.push_back(m_now + after);
@@ -197,7 +197,8 @@
             // A few daemons do most, so that rows change hands and come back.
             for (int n = *rc::gen::inRange(1, 120); n > 0; --n)
                 step(world);
-            RC_ASSERT(world.mostInWindow() <= std::size_t(mostCredits(quota, quota_bound())));
+            RC_ASSERT(world.mostInWindow()
+                      <= std::size_t(maxCreditsPerWindow(quota, quota_bound())));
         }));
     }
 }
@@ -206,7 +207,7 @@
 {
     quota_bound bound;
     const account_book accounts = accountsWith({100, 100});
-    const int most = mostCredits({100, 100}, bound);
+    const int most = maxCreditsPerWindow({100, 100}, bound);
     time_point now{seconds(1000)};
     quota_book first({"d1"}, 1, bound);
     first.takeOver(std::nullopt, holder_state::Ended, now);
