--- a/src/entry/turn_handler.cpp
+++ b/src/entry/turn_handler.cpp
@@ -240,9 +240,9 @@
     const auto reserved = co_await m_ledger.reserve(std::move(claim), context->storeDeadline);
     if (reserved)
         co_return true;
-    // A reservation in doubt may still reach the store, so it is settled. One that certainly failed
-    // is not settled: in an outage of seconds that would be a write for each refusal (3,074 on 87
-    // hosts, according to their logs), all of them made while clients that retry need the store.
+    // A reservation with unknown outcome may still reach the store, so it is settled. One that
+    // certainly failed is not: during an outage of seconds, that would add one write per refusal
+    // (3,074 refusals on 87 hosts) while the store is needed by clients that retry.
     if (reserved.error() == turn_refusal::InDoubt)
         settle(*context, 0);
     std::string detail = detailOf(reserved.error(), context->claim);
--- a/src/members/membership_protocol.cpp
+++ b/src/members/membership_protocol.cpp
@@ -21,8 +21,8 @@
 constexpr int roundsUntilIndirect = 1;
 constexpr int roundsUntilSuspect = 2;
 /// Time until a suspected member is declared dead. An update reaches all daemons in three to four
-/// rounds, and the refutation takes as many to come back. A longer timeout would keep the callers
-/// of a dead member waiting.
+/// rounds, and a refutation needs the same number of rounds to spread. A longer timeout would keep
+/// the callers of a dead member waiting.
 constexpr duration suspicionTimeout = milliseconds(600);
 /// At 130 bytes per update, a message stays under 4 KB even while hundreds of daemons start at
 /// once; without updates it has some 100 bytes.
--- a/src/replicas/concurrency_limiter.cpp
+++ b/src/replicas/concurrency_limiter.cpp
@@ -43,14 +43,15 @@
 /// tries of one program's turns were refused after a restart of all daemons, and a request of a
 /// worse rank was not among a thousand admissions.
 constexpr std::uint64_t admissionsBeforePriority = 8;
-/// At most one in so many admissions is made out of order, alternating between late or lost
-/// programs and any. This limits what programs at the head of the queue lose to them.
+/// At most one admission in this many is made out of order, alternately for a request of a late or
+/// lost program and for the oldest of all requests. This limits the capacity that out-of-order
+/// admissions take from the programs at the head of the queue.
 constexpr std::uint64_t priorityAdmissionInterval = 4;
 /// Gossip rounds until a daemon's report has reached the others and is merged there.
 constexpr std::size_t reportDelayRounds = 3;
 /// Fraction of the distance to the merged limit that a limit moves per gossip round. Reports are
-/// some rounds old: moving all the way undid what had been learned since, and limits took 10.5 s
-/// instead of 3 s to halve at slow engines (replay of 11 daemons).
+/// some rounds old: adopting the merged limit at once discarded the adjustments made since then,
+/// and with 11 daemons, limits took 10.5 s instead of 3 s to halve at slow engines.
 constexpr double mergeWeight = 0.05;
 
 } // namespace
--- a/src/replicas/place_division.h
+++ b/src/replicas/place_division.h
@@ -53,7 +53,7 @@
 /// Callers connect to a random daemon and stay with it; after a restart of all daemons, most
 /// callers are at the few that were up first. Equal shares then cause refusals for seconds although
 /// the engines have capacity: with 200 programs, 90 of them at one of eleven daemons, 686 refusals
-/// for 2,100 turns, and none with shares by demand (replay of 13 s).
+/// for 2,100 turns within 13 s, and none with shares by demand.
 ///
 /// A daemon gets its demand and an even share of the unused rest. If the total demand exceeds the
 /// limit, each daemon gets the same fraction of its demand, so that the admission of a request does
--- a/src/replicas/replica_load_balancer.h
+++ b/src/replicas/replica_load_balancer.h
@@ -168,7 +168,8 @@
         /// This daemon's outstanding requests at the service's replicas, and their number.
         int outstanding = 0;
         int replicas = 0;
-        /// Whether so many replicas of the service fail requests that the requests are to blame.
+        /// Whether so many replicas of the service fail requests that the cause is assumed to be
+        /// the requests, not the replicas.
         bool failsEverywhere = false;
         /// Cache size of a replica in tokens; 0 if not configured.
         std::int64_t cacheTokens = 0;
--- a/test/io/platform_store_test.cpp
+++ b/test/io/platform_store_test.cpp
@@ -163,9 +163,9 @@
 
     TEST_CASE("a store at its limit is no outage, also for a daemon that was quiet before")
     {
-        // When all hosts had come back at once, the store rate limited them. A daemon whose last
-        // answer was more than 0.5 s old reported an outage at the first rejections: it sent its
-        // calls through peers and refused turns without asking the store.
+        // After all hosts had restarted at the same time, the store rate limited them. A daemon
+        // whose last answer was more than 0.5 s old reported an outage at the first rejections: it
+        // sent its calls through peers and refused turns without asking the store.
         const paused_clock pause;
         store_client_fixture w;
         const auto writeLimited = [&] {
