--- a/src/daemon/control.h
+++ b/src/daemon/control.h
@@ -142,11 +142,11 @@
 
     /// \returns the preset that decides now, or why none certainly does: what a preset decides is
     /// refused then.
-    tl::expected<preset, preset_doubt> presetInForce() const;
+    tl::expected<preset, preset_unavailable_reason> presetInForce() const;
     /// \returns the version that decides now, or why none does.
-    tl::expected<config_version, preset_doubt> configInForce() const;
+    tl::expected<config_version, preset_unavailable_reason> configInForce() const;
     /// \returns what to tell a peer that can't read the store.
-    std::optional<peer_config> configForPeer() const;
+    std::optional<peer_config_response> configForPeer() const;
     /// \returns the newest version known, which may still wait for its activation.
     std::optional<config_version> configHead() const { return m_follower.head(); }
     /// \brief Reads the store if it can be reached. \returns the newest version known.
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -196,7 +196,7 @@
     if (decoded && m_routes)
         call->route = m_routes->find(call->request.hostname, call->path);
     if (call->route)
-        allowed = judgeAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
+        allowed = checkAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
     if (!decoded) {
         detail = std::move(decoded.error());
     } else if (!m_routes) {
@@ -258,7 +258,7 @@
     if (!call->account || !call->account->quota)
         co_return true;
     const bool isProgramStart = call->route->keepsHistory && call->request.previousTurn.empty();
-    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::GoOn;
+    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::Continue;
     account_id account = call->accountName();
     const time_point began = runtime_clock::now();
     const auto waitLimit
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -95,7 +95,7 @@
     const route_rule *const route = m_routes->find(call.request.hostname, call.path);
     if (!route)
         return false;
-    const access current = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
+    const access current = checkAccess(m_routes->accounts(), route->isPublic, call.request.key);
     const account_id holder = current.account ? current.account->name : account_id();
     return current.verdict == access_verdict::Allowed && holder == call.accountName();
 }
--- a/src/quota/quota_bound.h
+++ b/src/quota/quota_bound.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "accounts/account_rule.h"
+#include "accounts/account_config.h"
 
 namespace azurehill {
 
--- a/test/io/decoder_fuzz_test.cpp
+++ b/test/io/decoder_fuzz_test.cpp
@@ -278,7 +278,7 @@
             const auto row = decodeQuotaRow(text);
             for (const auto &[account, level] : row ? row->levels : decltype(row->levels)()) {
                 RC_ASSERT(level.credits >= 0);
-                for (const quota_level::foreign_share &share : level.foreign)
+                for (const credit_reservation::peer_share &share : level.foreign)
                     RC_ASSERT(share.credits >= 0 && share.left >= duration::zero());
             }
         });
