--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -374,8 +374,8 @@
 {
     updateReplicaDigest();
     send(m_membership.onMessage(message, from, runtime_clock::now()));
-    for (const peer_digest &news : m_membership.takeDigests())
-        m_replicas.onDigest(news);
+    for (const peer_digest &digest : m_membership.takeDigests())
+        m_replicas.onDigest(digest);
     logMembers();
 }
 
