--- a/src/daemon/control_config.cpp
+++ b/src/daemon/control_config.cpp
@@ -46,7 +46,7 @@
 awaitable<std::optional<row_version>> control::readConfig()
 {
     const time_point sentAt = runtime_clock::now();
-    auto answer = co_await m_platform.readTimed(std::vector<std::string>(1, configKey()));
+    auto answer = co_await m_platform.readTimestamped(std::vector<std::string>(1, configKey()));
     if (!answer)
         co_return std::nullopt;
     const time_point now = runtime_clock::now();
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -35,24 +35,24 @@
 }
 
 // g++ 12 does not compile braced JSON objects inside a coroutine, so these are functions.
-json::value readBody(const std::vector<std::string> &keys)
+json::value readRequestBody(const std::vector<std::string> &keys)
 {
     return json::object{{"keys", json::array(keys.begin(), keys.end())}};
 }
 
-json::value scanBody(const std::string &prefix, const std::string &after, int limit)
+json::value scanRequestBody(const std::string &prefix, const std::string &after, int limit)
 {
     return json::object{{"prefix", prefix}, {"after", after}, {"limit", limit}};
 }
 
-std::string textOf(const json::value &v)
+std::string asString(const json::value &v)
 {
     return std::string(v.as_string());
 }
 
 /// \brief Applies \p convert to the JSON body; a body of another form is an Unknown answer.
 template <class Function>
-auto parsed(const http_response &response, Function convert)
+auto parseBody(const http_response &response, Function convert)
     -> tl::expected<decltype(convert(json::value())), platform_error>
 {
     try {
@@ -62,25 +62,25 @@
     }
 }
 
-std::vector<table_row> rowsOf(const json::value &body)
+std::vector<table_row> parseRows(const json::value &body)
 {
     std::vector<table_row> rows;
     for (const json::value &row : body.at("rows").as_array()) {
-        rows.push_back({textOf(row.at("key")), textOf(row.at("value")),
+        rows.push_back({asString(row.at("key")), asString(row.at("value")),
                         row.at("version").to_number<row_version>()});
     }
     return rows;
 }
 
-timed_rows timedRowsOf(const json::value &body)
+timestamped_rows parseTimestampedRows(const json::value &body)
 {
-    timed_rows result{rowsOf(body), std::nullopt};
+    timestamped_rows result{parseRows(body), std::nullopt};
     if (const json::value *now = body.as_object().if_contains("now_ms"))
         result.nowMs = now->to_number<std::int64_t>();
     return result;
 }
 
-platform_error errorOf(const http_response &response)
+platform_error toPlatformError(const http_response &response)
 {
     switch (response.status) {
     case 404:
@@ -97,42 +97,42 @@
     }
 }
 
-platform_error errorOf(const http_error &error)
+platform_error toPlatformError(const http_error &error)
 {
-    const bool ranNot = error.ran == outcome::DidNotRun;
-    const auto kind = ranNot ? platform_error_kind::Unavailable : platform_error_kind::Unknown;
+    const bool didNotRun = error.ran == outcome::DidNotRun;
+    const auto kind = didNotRun ? platform_error_kind::Unavailable : platform_error_kind::Unknown;
     return {kind, error.detail};
 }
 
 } // namespace
 
-platform_client::platform_client(endpoint service, duration timeout)
-    : m_service(std::move(service)), m_timeout(timeout)
+platform_client::platform_client(endpoint address, duration timeout)
+    : m_address(std::move(address)), m_timeout(timeout)
 { }
 
 awaitable<platform_client::result<http_response>> platform_client::call(http_request request)
 {
     const time_point deadline = runtime_clock::now() + m_timeout;
     std::unique_ptr<http_connection> connection;
-    if (m_idle.empty()) {
+    if (m_idleConnections.empty()) {
         connection = std::make_unique<http_connection>(co_await asio::this_coro::executor);
-        const auto connected = co_await connection->connect(m_service, deadline);
+        const auto connected = co_await connection->connect(m_address, deadline);
         if (!connected)
-            co_return tl::unexpected(errorOf(connected.error()));
+            co_return tl::unexpected(toPlatformError(connected.error()));
     } else {
-        connection = std::move(m_idle.back());
-        m_idle.pop_back();
+        connection = std::move(m_idleConnections.back());
+        m_idleConnections.pop_back();
     }
     auto response = co_await connection->exchange(std::move(request), deadline);
     if (!response) {
         // The connection may have gone silent for good, and the others with it.
-        m_idle.clear();
-        co_return tl::unexpected(errorOf(response.error()));
+        m_idleConnections.clear();
+        co_return tl::unexpected(toPlatformError(response.error()));
     }
-    if (connection->isReusable() && m_idle.size() < maxIdleConnections)
-        m_idle.push_back(std::move(connection));
+    if (connection->isReusable() && m_idleConnections.size() < maxIdleConnections)
+        m_idleConnections.push_back(std::move(connection));
     if (response->status >= 300)
-        co_return tl::unexpected(errorOf(*response));
+        co_return tl::unexpected(toPlatformError(*response));
     co_return std::move(*response);
 }
 
@@ -142,7 +142,7 @@
     auto response = co_await call(postJson("/table/transact", toJson(t)));
     if (!response)
         co_return tl::unexpected(response.error());
-    co_return parsed(*response, [](const json::value &body) {
+    co_return parseBody(*response, [](const json::value &body) {
         std::map<std::string, row_version> versions;
         for (const auto &[key, version] : body.at("versions").as_object())
             versions.emplace(key, version.to_number<row_version>());
@@ -153,28 +153,28 @@
 awaitable<platform_client::result<std::vector<table_row>>>
 platform_client::read(std::vector<std::string> keys)
 {
-    auto response = co_await call(postJson("/table/read", readBody(keys)));
+    auto response = co_await call(postJson("/table/read", readRequestBody(keys)));
     if (!response)
         co_return tl::unexpected(response.error());
-    co_return parsed(*response, rowsOf);
+    co_return parseBody(*response, parseRows);
 }
 
-awaitable<platform_client::result<timed_rows>>
-platform_client::readTimed(std::vector<std::string> keys)
+awaitable<platform_client::result<timestamped_rows>>
+platform_client::readTimestamped(std::vector<std::string> keys)
 {
-    auto response = co_await call(postJson("/table/read", readBody(keys)));
+    auto response = co_await call(postJson("/table/read", readRequestBody(keys)));
     if (!response)
         co_return tl::unexpected(response.error());
-    co_return parsed(*response, timedRowsOf);
+    co_return parseBody(*response, parseTimestampedRows);
 }
 
 awaitable<platform_client::result<std::vector<table_row>>>
 platform_client::scan(std::string prefix, std::string after, int limit)
 {
-    auto response = co_await call(postJson("/table/scan", scanBody(prefix, after, limit)));
+    auto response = co_await call(postJson("/table/scan", scanRequestBody(prefix, after, limit)));
     if (!response)
         co_return tl::unexpected(response.error());
-    co_return parsed(*response, rowsOf);
+    co_return parseBody(*response, parseRows);
 }
 
 awaitable<platform_client::result<void>> platform_client::putObject(std::string key,
@@ -219,13 +219,13 @@
     auto response = co_await call(std::move(request));
     if (!response)
         co_return tl::unexpected(response.error());
-    co_return parsed(*response, [](const json::value &body) {
+    co_return parseBody(*response, [](const json::value &body) {
         std::vector<listed_host> hosts;
         for (const json::value &h : body.at("hosts").as_array()) {
-            hosts.push_back({textOf(h.at("name")),
-                             textOf(h.at("service")),
-                             {textOf(h.at("host")), h.at("port").to_number<std::uint16_t>()},
-                             textOf(h.at("data_centre")),
+            hosts.push_back({asString(h.at("name")),
+                             asString(h.at("service")),
+                             {asString(h.at("host")), h.at("port").to_number<std::uint16_t>()},
+                             asString(h.at("data_centre")),
                              h.at("leaving").as_bool()});
         }
         return hosts;
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -24,7 +24,7 @@
 };
 
 /// \brief Rows, and the platform's time at which they were read if the answer carries it.
-struct timed_rows
+struct timestamped_rows
 {
     std::vector<table_row> rows;
     std::optional<std::int64_t> nowMs;
@@ -37,14 +37,14 @@
     template <class T>
     using result = tl::expected<T, platform_error>;
 
-    platform_client(endpoint service, duration timeout);
+    platform_client(endpoint address, duration timeout);
 
     /// \brief Applies \p t. \returns the new versions by key.
     awaitable<result<std::map<std::string, row_version>>> transact(transaction t);
     /// \brief Reads rows by key; absent rows are left out.
     awaitable<result<std::vector<table_row>>> read(std::vector<std::string> keys);
     /// \brief Reads rows by key, with the time of the reading.
-    awaitable<result<timed_rows>> readTimed(std::vector<std::string> keys);
+    awaitable<result<timestamped_rows>> readTimestamped(std::vector<std::string> keys);
     /// \brief Reads rows in key order whose key begins with \p prefix and comes after \p after.
     awaitable<result<std::vector<table_row>>> scan(std::string prefix, std::string after,
                                                    int limit);
@@ -57,9 +57,9 @@
 private:
     awaitable<result<http_response>> call(http_request request);
 
-    endpoint m_service;
+    endpoint m_address;
     duration m_timeout;
-    std::vector<std::unique_ptr<http_connection>> m_idle;
+    std::vector<std::unique_ptr<http_connection>> m_idleConnections;
 };
 
 } // namespace azurehill
