--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief The platform's services: a transactional table, an object store and a host list.
+/// \brief Client of the platform's services: a transactional key-value table, an object store and
+/// a host list.
 
 #include "platform/platform_client.h"
 #include "platform/platform_error.h"
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -34,7 +34,7 @@
     return json::object{{"checks", checks}, {"puts", puts}, {"deletes", deletes}};
 }
 
-// g++ 12 does not compile braced JSON objects inside a coroutine, so these are functions.
+// These are functions because g++ 12 does not compile braced JSON objects inside a coroutine.
 json::value readRequestBody(const std::vector<std::string> &keys)
 {
     return json::object{{"keys", json::array(keys.begin(), keys.end())}};
@@ -50,7 +50,8 @@
     return std::string(v.as_string());
 }
 
-/// \brief Applies \p convert to the JSON body; a body of another form is an Unknown answer.
+/// \brief Applies \p convert to the JSON body. A body that is not JSON or has an unexpected
+/// structure is an Unknown error.
 template <class Function>
 auto parseBody(const http_response &response, Function convert)
     -> tl::expected<decltype(convert(json::value())), platform_error>
@@ -125,7 +126,7 @@
     }
     auto response = co_await connection->exchange(std::move(request), deadline);
     if (!response) {
-        // The connection may have gone silent for good, and the others with it.
+        // The peer may no longer respond on any connection, so the idle ones are closed as well.
         m_idleConnections.clear();
         co_return tl::unexpected(toPlatformError(response.error()));
     }
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -13,7 +13,8 @@
 
 namespace azurehill {
 
-/// \brief A host of the platform's list. The list lags behind the hosts.
+/// \brief An entry of the platform's host list. The list is eventually consistent: it may lag
+/// behind the actual hosts.
 struct listed_host
 {
     std::string name;
@@ -23,14 +24,17 @@
     bool leaving = false;
 };
 
-/// \brief Rows, and the platform's time at which they were read if the answer carries it.
+/// \brief Rows, and the time on the platform's clock at which they were read, if the response
+/// includes it.
 struct timestamped_rows
 {
     std::vector<table_row> rows;
     std::optional<std::int64_t> nowMs;
 };
 
-/// \brief Client of the platform. Used from one thread; keeps a few connections open.
+/// \brief HTTP client of the platform's table, object store and host list.
+///
+/// Not thread-safe. Keeps a few idle connections open for reuse.
 class platform_client
 {
 public:
@@ -39,16 +43,18 @@
 
     platform_client(endpoint address, duration timeout);
 
-    /// \brief Applies \p t. \returns the new versions by key.
+    /// \brief Applies \p t atomically. \returns the new row versions by key.
     awaitable<result<std::map<std::string, row_version>>> transact(transaction t);
-    /// \brief Reads rows by key; absent rows are left out.
+    /// \brief Reads rows by key. Rows that do not exist are omitted from the result.
     awaitable<result<std::vector<table_row>>> read(std::vector<std::string> keys);
-    /// \brief Reads rows by key, with the time of the reading.
+    /// \brief Same as read(), with the time on the platform's clock at which the rows were read.
     awaitable<result<timestamped_rows>> readTimestamped(std::vector<std::string> keys);
-    /// \brief Reads rows in key order whose key begins with \p prefix and comes after \p after.
+    /// \brief Reads, in key order, at most \p limit rows whose key begins with \p prefix and sorts
+    /// after \p after.
     awaitable<result<std::vector<table_row>>> scan(std::string prefix, std::string after,
                                                    int limit);
-    /// \brief Writes an object that must not be there yet; the same bytes again are no conflict.
+    /// \brief Creates an object. Fails with Conflict if it exists with other bytes; writing the
+    /// same bytes again succeeds.
     awaitable<result<void>> putObject(std::string key, std::string bytes);
     awaitable<result<std::string>> getObject(std::string key);
     awaitable<result<void>> deleteObject(std::string key);
--- a/src/platform/platform_error.h
+++ b/src/platform/platform_error.h
@@ -6,10 +6,10 @@
 
 namespace azurehill {
 
-/// \brief How a call to the platform failed.
+/// \brief Why a call to the platform failed.
 ///
-/// Conflict and Unavailable say that nothing was written. After Unknown the write may have taken
-/// effect: it is resolved by reading back, never by guessing.
+/// Conflict and Unavailable guarantee that nothing was written. After Unknown the write may have
+/// taken effect; the caller must read the row back to find out and must not assume either outcome.
 enum class platform_error_kind { Conflict, NotFound, Unavailable, Unknown };
 
 template <>
@@ -22,7 +22,7 @@
 struct platform_error
 {
     platform_error_kind kind = platform_error_kind::Unavailable;
-    /// The row whose check failed, or what the transport said.
+    /// The row whose check failed, or the error reported by the transport.
     std::string detail;
 };
 
--- a/src/platform/table.h
+++ b/src/platform/table.h
@@ -6,8 +6,7 @@
 
 namespace azurehill {
 
-/// \brief Version of a row, given by the table service; 0 is the version of a row that is not
-/// there.
+/// \brief Version of a row, assigned by the table service; 0 means that the row does not exist.
 using row_version = std::uint64_t;
 
 struct table_row
@@ -17,7 +16,7 @@
     row_version version = 0;
 };
 
-/// \brief A condition of a transaction: the row \c key has this version.
+/// \brief Precondition of a transaction (compare-and-set): the row \c key has version \c version.
 struct row_check
 {
     std::string key;
@@ -30,7 +29,7 @@
     std::string value;
 };
 
-/// \brief Writes that happen together, or not at all when one check fails.
+/// \brief Writes and deletions that are applied atomically; none is applied if any check fails.
 struct transaction
 {
     std::vector<row_check> checks;
