--- a/src/client/commands.cpp
+++ b/src/client/commands.cpp
@@ -57,7 +57,7 @@
                       "tokens_in_flight_per_replica", "retry_percent"});
 }
 
-/// \brief Asks every member for the programs that it owns.
+/// \brief Lists the programs of the cell by querying every member for those that it owns.
 command_output programs(const daemon_client &client, const ctl_options &o)
 {
     auto membership = client.get("/operator/members");
@@ -67,7 +67,7 @@
     for (const json::value &m : membership->at("members").as_array()) {
         const auto address = parseEndpoint(std::string(m.at("address").as_string()));
         auto answer = client.getFrom(address.value_or(endpoint{}), "/operator/programs");
-        // A list with a gap would look whole.
+        // Fails the whole command: a partial list could not be told apart from a complete one.
         if (!answer)
             return tl::unexpected(answer.error());
         for (json::value &p : answer->at("programs").as_array()) {
@@ -160,7 +160,8 @@
     return formatChanges(*before, *after);
 }
 
-/// \returns who changed what since version \p since.
+/// \returns the author, time and changes of each version after \p since, for a conflict message;
+/// empty if the history can't be read or no longer contains \p since.
 std::string explainConflict(const daemon_client &client, const std::string &since)
 {
     auto answer = client.get("/operator/config/history");
@@ -211,7 +212,8 @@
         constexpr int notFound = 404;
         if (!newest && newest.error().httpStatus != notFound)
             return tl::unexpected(newest.error());
-        // With none yet this is the first, and the daemon refuses it if that is wrong.
+        // 404 means that no configuration exists yet. Version 0 creates the first one; the daemon
+        // rejects the request if one exists by then.
         version = newest ? versionOf(*newest) : "0";
     }
     return submitConfig(client, o, text.str(), version);
@@ -228,10 +230,12 @@
                         o.ifVersion.empty() ? versionOf(*newest) : o.ifVersion);
 }
 
+/// \brief A subcommand of azurehill-ctl.
 struct command
 {
+    /// Words of the name, for example "config", "show".
     string_list nameWords;
-    /// Names of the arguments after the words.
+    /// Placeholders of the required arguments after the name, as shown in the help.
     string_list arguments;
     const char *help;
     command_output (*run)(const daemon_client &, const ctl_options &);
--- a/src/client/commands.h
+++ b/src/client/commands.h
@@ -7,19 +7,23 @@
 
 namespace azurehill {
 
+/// \brief Parsed command line of azurehill-ctl.
 struct ctl_options
 {
     bool json = false;
     std::string author;
-    /// Version of the configuration that a change is made to; empty for the one read just before.
+    /// Version of the configuration that a change is based on (optimistic locking). If empty, the
+    /// newest version, which is read immediately before the change.
     std::string ifVersion;
+    /// Name of the subcommand and its arguments.
     std::vector<std::string> positionalArguments;
 };
 
-/// \brief Runs the command that the words name and prints its result. \returns the exit status.
+/// \brief Runs the subcommand that the positional arguments name and prints its result.
+/// \returns the exit status.
 int runCommand(const daemon_client &client, const ctl_options &options);
 
-/// \returns the lines of the help that name the commands.
+/// \returns the section of the help text that lists the subcommands.
 std::string commandHelp();
 
 } // namespace azurehill
--- a/src/client/daemon_client.cpp
+++ b/src/client/daemon_client.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Longer than a daemon takes to resolve a write whose answer was lost.
+/// Longer than a daemon takes to determine the outcome of a write whose response was lost.
 constexpr duration requestTimeout = seconds(15);
 
 int exitStatusFor(int httpStatus)
@@ -44,7 +44,8 @@
     return v && v->is_string() ? std::string(v->get_string()) : std::string();
 }
 
-/// \returns a problem document, or the faults of a configuration, for a person to read.
+/// \returns the problem document of an error response, or its list of configuration errors, as
+/// human-readable text.
 std::string describeError(const http_response &response)
 {
     json::error_code code;
@@ -77,12 +78,13 @@
     return r;
 }
 
-daemon_client::result daemon_client::putConfig(const std::string &text, const std::string &expected,
+daemon_client::result daemon_client::putConfig(const std::string &text,
+                                               const std::string &expectedVersion,
                                                const std::string &author) const
 {
     http_request r = request("/operator/config");
     r.method = "PUT";
-    r.headers.add("If-Match", expected);
+    r.headers.add("If-Match", expectedVersion);
     r.headers.add("Azurehill-Author", author);
     r.body = text;
     return send(m_daemon, std::move(r));
--- a/src/client/daemon_client.h
+++ b/src/client/daemon_client.h
@@ -10,16 +10,16 @@
 
 namespace azurehill {
 
-/// \brief A command that failed: what to print and the exit status.
+/// \brief Error of a command: the message to print and the exit status.
 struct command_error
 {
     int status = Unavailable;
     std::string text;
-    /// Status of the daemon's answer, 0 without one.
+    /// HTTP status of the daemon's response, 0 if there was none.
     int httpStatus = 0;
 };
 
-/// \brief Talks to the operators' interface of daemons, one request at a time.
+/// \brief Blocking HTTP client of the daemons' operator API; opens a connection for each request.
 class daemon_client
 {
 public:
@@ -30,13 +30,14 @@
     { }
 
     result get(const std::string &path) const { return send(m_daemon, request(path)); }
-    /// \brief Asks another daemon than the one given.
+    /// \brief Sends the request to \p daemon instead of the daemon given to the constructor.
     result getFrom(const endpoint &daemon, const std::string &path) const
     {
         return send(daemon, request(path));
     }
-    /// \brief Makes a change to version \p expected of the configuration.
-    result putConfig(const std::string &text, const std::string &expected,
+    /// \brief Replaces the configuration. Fails with Conflict if its newest version is not
+    /// \p expectedVersion.
+    result putConfig(const std::string &text, const std::string &expectedVersion,
                      const std::string &author) const;
 
 private:
--- a/src/client/exit_status.h
+++ b/src/client/exit_status.h
@@ -2,7 +2,8 @@
 
 namespace azurehill {
 
-/// \brief Exit statuses of azurehill-ctl; but for BadSettings they are those of sysexits.h.
+/// \brief Exit statuses of azurehill-ctl. Their values are those of sysexits.h, except for
+/// BadSettings.
 enum exit_status {
     Success = 0,
     BadSettings = 2,
--- a/src/client/explain.h
+++ b/src/client/explain.h
@@ -6,11 +6,11 @@
 
 namespace azurehill {
 
-/// First word of the command.
+/// Name of the subcommand.
 inline constexpr std::string_view explainCommand = "explain";
 
-/// \brief Prints what logs tell of a request or a program.
-/// \param words "explain", the id, and the log files; standard input where no file is named.
+/// \brief Prints the history of a request or a program as reconstructed from log files.
+/// \param arguments "explain", the id, and the log files; without a file, standard input is read.
 /// \returns the exit status.
 int runExplain(const std::vector<std::string> &arguments);
 
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -1,4 +1,5 @@
-// The operators' command line: shows and changes a deployment through any of its daemons.
+// azurehill-ctl, the operators' command-line tool: shows and changes a deployment through the
+// operator API of any of its daemons.
 
 #include "client/commands.h"
 #include "client/explain.h"
@@ -26,32 +27,32 @@
 
 int run(int argc, const char **argv)
 {
-    option_reader in("azurehill-ctl", "[OPTION...] COMMAND", optionTable());
-    in.read(argc, argv);
-    if (!in.helpText().empty()) {
-        fmt::print("{}\n{}", in.helpText(), commandHelp());
+    option_reader reader("azurehill-ctl", "[OPTION...] COMMAND", optionTable());
+    reader.read(argc, argv);
+    if (!reader.helpText().empty()) {
+        fmt::print("{}\n{}", reader.helpText(), commandHelp());
         return Success;
     }
-    if (in.wantsVersion()) {
+    if (reader.wantsVersion()) {
         fmt::print("azurehill-ctl {}\n", AZUREHILL_VERSION);
         return Success;
     }
     ctl_options options;
-    options.json = in.isOn("json");
-    options.author = in.requiredText("author");
-    options.ifVersion = in.text("if-version");
+    options.json = reader.isOn("json");
+    options.author = reader.requiredText("author");
+    options.ifVersion = reader.text("if-version");
     if (!options.ifVersion.empty())
-        in.number("if-version", 0, INT64_MAX);
-    options.positionalArguments = in.words();
-    // Reads logs only: no daemon is asked, since it may be gone.
+        reader.number("if-version", 0, INT64_MAX);
+    options.positionalArguments = reader.words();
+    // Reads only log files and needs no daemon, since the daemon may no longer be running.
     if (!options.positionalArguments.empty()
         && options.positionalArguments.front() == explainCommand)
         return runExplain(options.positionalArguments);
-    const endpoint daemon = in.address("daemon", false);
-    const daemon_client client(daemon, in.requiredText("token"));
-    for (const setting_fault &f : in.faults())
+    const endpoint daemon = reader.address("daemon", false);
+    const daemon_client client(daemon, reader.requiredText("token"));
+    for (const setting_fault &f : reader.faults())
         fmt::print(stderr, "azurehill-ctl: {}\n", toText(f));
-    return in.faults().empty() ? runCommand(client, options) : BadSettings;
+    return reader.faults().empty() ? runCommand(client, options) : BadSettings;
 }
 
 } // namespace
--- a/test/process/operators_test.cpp
+++ b/test/process/operators_test.cpp
@@ -25,7 +25,7 @@
     std::string output;
 };
 
-/// \brief Runs one of the project's commands to its end.
+/// \brief Runs one of the project's executables until it exits.
 command_result runCommand(const std::string &name, std::vector<std::string> arguments)
 {
     const scratch_folder folder;
@@ -66,14 +66,15 @@
     return r.output.find(text) != std::string::npos;
 }
 
-/// \brief When a daemon was seen to decide by the old version last, and by the new one first.
+/// \brief When a daemon was last observed to apply the old configuration version, and first
+/// observed to apply the new one.
 struct switch_times
 {
     time_point lastOldRequestAt = time_point::min();
     time_point firstNewResponseAt = time_point::max();
 };
 
-/// \brief Asks \p daemon once which version decides.
+/// \brief Queries \p daemon once for the configuration version in force and records it in \p times.
 void pollVersion(cluster &c, const std::string &daemon, std::int64_t newVersion,
                  switch_times &times)
 {
@@ -93,8 +94,9 @@
 
 TEST_CASE("A preset comes into force everywhere within 5 s, and never two at once")
 {
-    // An operator switches to peak. Were one daemon to admit programs by the new preset while
-    // another still goes by the old one, the system would hold more than either allows.
+    // Guards against daemons that apply different presets at the same time: if one admits programs
+    // by the new preset while another still applies the old one, the cell holds more programs than
+    // either preset allows.
     cluster c;
     c.waitServing(c.daemons());
     const time_point before = runtime_clock::now();
