--- a/src/client/commands.cpp
+++ b/src/client/commands.cpp
@@ -119,8 +119,8 @@
 std::string formatChanges(const json::value &before, const json::value &after)
 {
     std::string text;
-    for (const config_change &c : changesBetween(json::serialize(before.at("config")),
-                                                 json::serialize(after.at("config")))) {
+    for (const config_change &c :
+         diffJson(json::serialize(before.at("config")), json::serialize(after.at("config")))) {
         if (!c.before.empty())
             text += fmt::format("- {} {}\n", c.path, c.before);
         if (!c.after.empty())
@@ -132,8 +132,8 @@
 json::array changesJson(const json::value &before, const json::value &after)
 {
     json::array changes;
-    for (const config_change &c : changesBetween(json::serialize(before.at("config")),
-                                                 json::serialize(after.at("config")))) {
+    for (const config_change &c :
+         diffJson(json::serialize(before.at("config")), json::serialize(after.at("config")))) {
         json::object o{{"path", c.path}};
         if (!c.before.empty())
             o["before"] = json::parse(c.before);
--- a/src/client/explain.cpp
+++ b/src/client/explain.cpp
@@ -17,7 +17,7 @@
         fmt::print(stderr, "azurehill-ctl: explain needs the id of a request or a program\n");
         return BadUsage;
     }
-    log_lines lines;
+    parsed_log lines;
     if (arguments.size() == firstFileIndex)
         readLog(std::cin, "-", lines);
     for (std::size_t i = firstFileIndex; i < arguments.size(); ++i) {
@@ -28,7 +28,7 @@
         }
         readLog(file, arguments[i], lines);
     }
-    fmt::print("{}", tellStory(lines, arguments[1]));
+    fmt::print("{}", formatTimeline(lines, arguments[1]));
     return Success;
 }
 
