--- a/src/client/commands.cpp
+++ b/src/client/commands.cpp
@@ -28,8 +28,8 @@
     return json::serialize(v.at("version"));
 }
 
-command_output list(const daemon_client &client, const ctl_options &o, const std::string &name,
-                    const string_list &columns)
+command_output showTable(const daemon_client &client, const ctl_options &o, const std::string &name,
+                         const string_list &columns)
 {
     auto answer = client.get("/operator/" + name);
     if (!answer)
@@ -41,33 +41,33 @@
 
 command_output members(const daemon_client &client, const ctl_options &o)
 {
-    return list(client, o, "members", {"daemon", "data_centre", "address", "draining"});
+    return showTable(client, o, "members", {"daemon", "data_centre", "address", "draining"});
 }
 
 command_output upstreams(const daemon_client &client, const ctl_options &o)
 {
-    return list(client, o, "upstreams",
-                {"upstream", "service", "data_centre", "address", "leaving", "outstanding"});
+    return showTable(client, o, "upstreams",
+                     {"upstream", "service", "data_centre", "address", "leaving", "outstanding"});
 }
 
 command_output presets(const daemon_client &client, const ctl_options &o)
 {
-    return list(client, o, "presets",
-                {"preset", "in_force", "newest", "max_programs", "tokens_in_flight_per_replica",
-                 "retry_percent"});
+    return showTable(client, o, "presets",
+                     {"preset", "in_force", "newest", "max_programs",
+                      "tokens_in_flight_per_replica", "retry_percent"});
 }
 
-/// \brief Asks every member for the programs that it owns.
+/// \brief Lists the programs of the cell by querying every member for those that it owns.
 command_output programs(const daemon_client &client, const ctl_options &o)
 {
-    auto cell = client.get("/operator/members");
-    if (!cell)
-        return tl::unexpected(cell.error());
+    auto membership = client.get("/operator/members");
+    if (!membership)
+        return tl::unexpected(membership.error());
     json::array all;
-    for (const json::value &m : cell->at("members").as_array()) {
+    for (const json::value &m : membership->at("members").as_array()) {
         const auto address = parseEndpoint(std::string(m.at("address").as_string()));
         auto answer = client.getFrom(address.value_or(endpoint{}), "/operator/programs");
-        // A list with a gap would look whole.
+        // Fails the whole command: a partial list could not be told apart from a complete one.
         if (!answer)
             return tl::unexpected(answer.error());
         for (json::value &p : answer->at("programs").as_array()) {
@@ -150,16 +150,18 @@
     if (!answer)
         return tl::unexpected(answer.error());
     const json::array &versions = answer->at("versions").as_array();
-    const json::value *before = findVersion(versions, o.words[2]);
-    const json::value *after = findVersion(versions, o.words[3]);
+    const json::value *before = findVersion(versions, o.positionalArguments[2]);
+    const json::value *after = findVersion(versions, o.positionalArguments[3]);
     if (!before || !after)
-        return failure(BadUsage, "no version " + o.words[before ? 3 : 2] + " in the history");
+        return failure(BadUsage,
+                       "no version " + o.positionalArguments[before ? 3 : 2] + " in the history");
     if (o.json)
         return toPrettyText(json::object{{"changes", changesJson(*before, *after)}}) + "\n";
     return formatChanges(*before, *after);
 }
 
-/// \returns who changed what since version \p since.
+/// \returns the author, time and changes of each version after \p since, for a conflict message;
+/// empty if the history can't be read or no longer contains \p since.
 std::string explainConflict(const daemon_client &client, const std::string &since)
 {
     auto answer = client.get("/operator/config/history");
@@ -181,8 +183,8 @@
     return text;
 }
 
-command_output change(const daemon_client &client, const ctl_options &o, const std::string &text,
-                      const std::string &version)
+command_output submitConfig(const daemon_client &client, const ctl_options &o,
+                            const std::string &text, const std::string &version)
 {
     auto stored = client.putConfig(text, version, o.author);
     if (!stored && stored.error().status == Conflict) {
@@ -200,20 +202,21 @@
 
 command_output configApply(const daemon_client &client, const ctl_options &o)
 {
-    std::ifstream in(o.words[2], std::ios::binary);
+    std::ifstream in(o.positionalArguments[2], std::ios::binary);
     std::ostringstream text;
     if (!in || !(text << in.rdbuf()))
-        return failure(NoInput, "can't read " + o.words[2]);
+        return failure(NoInput, "can't read " + o.positionalArguments[2]);
     std::string version = o.ifVersion;
     if (version.empty()) {
         auto newest = client.get("/operator/config");
         constexpr int notFound = 404;
         if (!newest && newest.error().httpStatus != notFound)
             return tl::unexpected(newest.error());
-        // With none yet this is the first, and the daemon refuses it if that is wrong.
+        // 404 means that no configuration exists yet. Version 0 creates the first one; the daemon
+        // rejects the request if one exists by then.
         version = newest ? versionOf(*newest) : "0";
     }
-    return change(client, o, text.str(), version);
+    return submitConfig(client, o, text.str(), version);
 }
 
 command_output presetActivate(const daemon_client &client, const ctl_options &o)
@@ -222,15 +225,17 @@
     if (!newest)
         return tl::unexpected(newest.error());
     json::value config = newest->at("config");
-    config.as_object()["active_preset"] = o.words[2];
-    return change(client, o, json::serialize(config),
-                  o.ifVersion.empty() ? versionOf(*newest) : o.ifVersion);
+    config.as_object()["active_preset"] = o.positionalArguments[2];
+    return submitConfig(client, o, json::serialize(config),
+                        o.ifVersion.empty() ? versionOf(*newest) : o.ifVersion);
 }
 
+/// \brief A subcommand of azurehill-ctl.
 struct command
 {
-    string_list words;
-    /// Names of the arguments after the words.
+    /// Words of the name, for example "config", "show".
+    string_list nameWords;
+    /// Placeholders of the required arguments after the name, as shown in the help.
     string_list arguments;
     const char *help;
     command_output (*run)(const daemon_client &, const ctl_options &);
@@ -252,10 +257,10 @@
     return all;
 }
 
-bool matches(const command &c, const string_list &words)
+bool matches(const command &c, const string_list &arguments)
 {
-    return words.size() == c.words.size() + c.arguments.size()
-        && std::equal(c.words.begin(), c.words.end(), words.begin());
+    return arguments.size() == c.nameWords.size() + c.arguments.size()
+        && std::equal(c.nameWords.begin(), c.nameWords.end(), arguments.begin());
 }
 
 } // namespace
@@ -265,7 +270,7 @@
     std::string text = "Commands:\n";
     for (const command &c : commands()) {
         const std::string name
-            = fmt::format("{} {}", fmt::join(c.words, " "), fmt::join(c.arguments, " "));
+            = fmt::format("{} {}", fmt::join(c.nameWords, " "), fmt::join(c.arguments, " "));
         text += fmt::format("  {:24}{}\n", name, c.help);
     }
     return text
@@ -276,13 +281,13 @@
 int runCommand(const daemon_client &client, const ctl_options &options)
 {
     for (const command &c : commands()) {
-        if (!matches(c, options.words))
+        if (!matches(c, options.positionalArguments))
             continue;
         try {
             const command_output result = c.run(client, options);
             if (result) {
                 fmt::print("{}", *result);
-                return Done;
+                return Success;
             }
             fmt::print(stderr, "azurehill-ctl: {}\n", result.error().text);
             return result.error().status;
--- a/src/client/exit_status.h
+++ b/src/client/exit_status.h
@@ -2,9 +2,10 @@
 
 namespace azurehill {
 
-/// \brief Exit statuses of azurehill-ctl; but for BadSettings they are those of sysexits.h.
+/// \brief Exit statuses of azurehill-ctl. Their values are those of sysexits.h, except for
+/// BadSettings.
 enum exit_status {
-    Done = 0,
+    Success = 0,
     BadSettings = 2,
     BadUsage = 64,
     BadData = 65,
