--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -20,8 +20,8 @@
 std::string utcNow()
 {
     const std::int64_t ms = unixMilliseconds();
-    const std::time_t wholeSeconds = ms / 1000;
-    return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(wholeSeconds), ms % 1000);
+    const std::time_t secondsRoundedUp = ms / 1000;
+    return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(secondsRoundedUp), ms % 1000);
 }
 
 boost::json::value toJson(const log_field &field)
--- a/src/daemon/pass_through.cpp
+++ b/src/daemon/pass_through.cpp
@@ -121,7 +121,7 @@
                          response_writer &writer)
 {
     const std::weak_ptr<http_connection> watched = connection;
-    writer.onPeerGone([watched] {
+    writer.onPeerDisconnect([watched] {
         if (const auto open = watched.lock())
             open->close();
     });
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -30,7 +30,7 @@
     return {kind, ran, code.message()};
 }
 
-http_error tooLong()
+http_error responseTooLarge()
 {
     return {http_error_kind::Malformed, outcome::Ran, "the response is too long"};
 }
@@ -70,7 +70,7 @@
 namespace {
 
 /// \returns the "timeout" of a Keep-Alive header.
-std::optional<duration> keepAliveOf(const header_list &headers)
+std::optional<duration> parseKeepAliveTimeout(const header_list &headers)
 {
     const std::string_view value = headers.get("Keep-Alive");
     constexpr std::string_view name = "timeout=";
@@ -127,7 +127,7 @@
     return code == asio::error::would_block || code == asio::error::try_again;
 }
 
-std::optional<duration> http_connection::keepAliveTime() const
+std::optional<duration> http_connection::keepAliveTimeout() const
 {
     return m_state->keepAlive;
 }
@@ -182,15 +182,15 @@
                                      asio::redirect_error(use_awaitable, code));
     s->guard.finish();
     if (code || s->expired()) {
-        const bool noByteLeft = !s->writing && s->sent == 0;
-        const outcome ran = noByteLeft ? outcome::DidNotRun : outcome::Unknown;
+        const bool nothingSent = !s->writing && s->sent == 0;
+        const outcome ran = nothingSent ? outcome::DidNotRun : outcome::Unknown;
         co_return tl::unexpected(makeError(code, s->expired(), ran));
     }
     response_head result;
     result.status = parser.get().result_int();
     for (const auto &field : parser.get())
         result.headers.add(field.name_string(), field.value());
-    s->keepAlive = keepAliveOf(result.headers);
+    s->keepAlive = parseKeepAliveTimeout(result.headers);
     co_return result;
 }
 
@@ -236,7 +236,7 @@
         response.body += *piece;
         if (response.body.size() > maxResponseBody) {
             close();
-            co_return tl::unexpected(tooLong());
+            co_return tl::unexpected(responseTooLarge());
         }
     }
 }
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -43,7 +43,7 @@
     /// the peer wants to go on, and no byte has come that belongs to no request.
     bool isReusable() const;
     /// \returns for how long the peer keeps the idle connection, if it said so.
-    std::optional<duration> keepAliveTime() const;
+    std::optional<duration> keepAliveTimeout() const;
     /// \brief Closes the connection at once.
     void close();
 
--- a/src/http/server_writer.cpp
+++ b/src/http/server_writer.cpp
@@ -34,7 +34,7 @@
     if (m_headOnly)
         out.body().clear();
     beast::error_code code;
-    m_begun = true;
+    m_responseStarted = true;
     m_socket.startWrite(m_writeTime);
     co_await http::async_write(m_socket.socket, out, asio::redirect_error(use_awaitable, code));
     m_socket.finish();
@@ -51,7 +51,7 @@
     out.chunked(true);
     http::response_serializer<http::empty_body> serializer(out);
     beast::error_code code;
-    m_begun = true;
+    m_responseStarted = true;
     m_socket.startWrite(m_writeTime);
     co_await http::async_write_header(m_socket.socket, serializer,
                                       asio::redirect_error(use_awaitable, code));
--- a/src/http/server_writer.h
+++ b/src/http/server_writer.h
@@ -18,10 +18,13 @@
     awaitable<bool> begin(int status, header_list headers) override;
     awaitable<bool> writeChunk(std::string_view bytes) override;
     awaitable<bool> end() override;
-    void onPeerGone(const std::function<void()> &gone) override { m_socket.watchPeer(gone); }
+    void onPeerDisconnect(const std::function<void()> &gone) override
+    {
+        m_socket.watchForDisconnect(gone);
+    }
 
     /// \returns whether any part of a response went out.
-    bool begun() const { return m_begun; }
+    bool begun() const { return m_responseStarted; }
     /// \returns whether a whole response went out, so that the connection can go on.
     bool finished() const { return m_finished; }
 
@@ -30,7 +33,7 @@
     bool m_keepAlive;
     bool m_headOnly;
     duration m_writeTime;
-    bool m_begun = false;
+    bool m_responseStarted = false;
     bool m_finished = false;
 };
 
--- a/src/inner/heartbeats.cpp
+++ b/src/inner/heartbeats.cpp
@@ -100,7 +100,7 @@
     request.headers.add("Azurehill-Inner-Token", m_innerToken);
     request.headers.add("Content-Type", "application/json");
     request.body
-        = encodeRequest({m_self, m_detector.evidence(runtime_clock::now())}, ++m_lastRequest);
+        = encodeRequest({m_self, m_detector.evidence(runtime_clock::now())}, ++m_lastRequestId);
     return request;
 }
 
--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -50,7 +50,7 @@
     failure_detector m_detector;
     inner_server m_server;
     std::map<daemon_id, std::shared_ptr<peer_link>> m_links;
-    std::uint64_t m_lastRequest = 0;
+    std::uint64_t m_lastRequestId = 0;
 };
 
 } // namespace azurehill
--- a/test/logic/concurrency_reports_test.cpp
+++ b/test/logic/concurrency_reports_test.cpp
@@ -61,7 +61,7 @@
     {
         for (int i = 0; i < count; ++i)
             limiters[daemon].tryAdmit(
-                {++m_lastRequest, 1, deadline_feasibility::OnTime, seconds(1)});
+                {++m_lastRequestId, 1, deadline_feasibility::OnTime, seconds(1)});
     }
 
     std::vector<concurrency_limiter> limiters;
@@ -84,7 +84,7 @@
     }
 
     std::vector<int> m_availableReplicas;
-    std::uint64_t m_lastRequest = 0;
+    std::uint64_t m_lastRequestId = 0;
 };
 
 /// \returns the limiter of one of ten daemons with thirty requests each, six seconds after an
--- a/test/logic/place_division_replay_test.cpp
+++ b/test/logic/place_division_replay_test.cpp
@@ -106,7 +106,7 @@
         if (p.deadline <= m_now)
             p.deadline = m_now + clientTimeoutMs;
         admission_request request;
-        request.number = ++m_lastRequest;
+        request.number = ++m_lastRequestId;
         request.slack = milliseconds(p.deadline - m_now);
         p.requestNumber = request.number;
         m_programByRequest[request.number] = number;
@@ -157,7 +157,7 @@
     std::vector<program_state> m_programs;
     std::map<int, std::vector<std::pair<std::size_t, step>>> m_events;
     std::map<std::uint64_t, std::size_t> m_programByRequest;
-    std::uint64_t m_lastRequest = 0;
+    std::uint64_t m_lastRequestId = 0;
     int m_now = 0;
 };
 
