--- a/bench/bench_stream.cpp
+++ b/bench/bench_stream.cpp
@@ -215,7 +215,7 @@
             if (!co_await m_connection->connect(peer, deadline))
                 co_return std::nullopt;
         }
-        const auto head = co_await m_connection->open(request, deadline);
+        const auto head = co_await m_connection->sendAndReadHead(request, deadline);
         if (!head || head->status != 200)
             co_return std::nullopt;
         sample result{};
--- a/src/daemon/door.cpp
+++ b/src/daemon/door.cpp
@@ -355,8 +355,8 @@
     http_request out = request;
     out.headers = endToEnd(request.headers);
     out.headers.add("Azurehill-Inner-Token", m_settings.innerToken);
-    auto head
-        = co_await connection->open(std::move(out), runtime_clock::now() + passOnSilenceLimit);
+    auto head = co_await connection->sendAndReadHead(std::move(out),
+                                                     runtime_clock::now() + passOnSilenceLimit);
     if (!head) {
         http_response reply = toResponse(passOnProblem(head.error()));
         co_await writer.write(std::move(reply));
--- a/src/daemon/pass_through.cpp
+++ b/src/daemon/pass_through.cpp
@@ -70,8 +70,8 @@
         = co_await connection->connect(place.address, runtime_clock::now() + connectLimit);
     if (!connected)
         co_return connected.error();
-    auto head = co_await connection->open(std::move(request),
-                                          runtime_clock::now() + place.limits.callLimit);
+    auto head = co_await connection->sendAndReadHead(std::move(request),
+                                                     runtime_clock::now() + place.limits.callLimit);
     if (!head)
         co_return head.error();
     co_await relayResponse(*connection, std::move(*head), writer, place.limits.silenceLimit);
@@ -121,7 +121,7 @@
                          response_writer &writer)
 {
     const std::weak_ptr<http_connection> watched = connection;
-    writer.onPeerGone([watched] {
+    writer.onPeerDisconnect([watched] {
         if (const auto open = watched.lock())
             open->close();
     });
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -58,9 +58,9 @@
     limits.maxHeaderBytes = static_cast<std::size_t>(in.number("max-header-bytes", 1024, 1 << 20));
     limits.maxBodyBytes = static_cast<std::size_t>(in.number("max-body-bytes", 1024, 1 << 30));
     limits.maxConnections = static_cast<int>(in.number("max-connections", 1, 1'000'000));
-    limits.requestTime = in.time("request-time-ms", 1, longestTimeMs);
-    limits.idleTime = in.time("idle-time-ms", 1, longestTimeMs);
-    limits.writeTime = in.time("write-time-ms", 1, longestTimeMs);
+    limits.requestTimeout = in.time("request-time-ms", 1, longestTimeMs);
+    limits.idleTimeout = in.time("idle-time-ms", 1, longestTimeMs);
+    limits.writeTimeout = in.time("write-time-ms", 1, longestTimeMs);
 }
 
 } // namespace
--- a/src/daemon/stream_writer.cpp
+++ b/src/daemon/stream_writer.cpp
@@ -79,10 +79,10 @@
 
 /// \brief Wakes the session when its caller goes away, which would otherwise keep its connection
 /// and its memory until the call ends.
-gone_flag watchPeer(const std::shared_ptr<call_stream> &call, response_writer &writer)
+gone_flag watchForDisconnect(const std::shared_ptr<call_stream> &call, response_writer &writer)
 {
     auto gone = std::make_shared<std::atomic<bool>>(false);
-    writer.onPeerGone([call, gone] {
+    writer.onPeerDisconnect([call, gone] {
         *gone = true;
         call->publish();
     });
@@ -111,7 +111,7 @@
         co_await writer.write(std::move(reply));
         co_return;
     }
-    const gone_flag gone = watchPeer(call, writer);
+    const gone_flag gone = watchForDisconnect(call, writer);
     std::size_t next = *place;
     bool begun = false;
     while (true) {
@@ -141,7 +141,7 @@
 
 awaitable<void> writeWhole(std::shared_ptr<call_stream> call, response_writer &writer)
 {
-    const gone_flag gone = watchPeer(call, writer);
+    const gone_flag gone = watchForDisconnect(call, writer);
     const auto end = co_await call->waitForEnd(gone);
     if (!end)
         co_return;
--- a/src/daemon/upstream_call.cpp
+++ b/src/daemon/upstream_call.cpp
@@ -191,8 +191,8 @@
     if (!connected)
         co_return failed(connected.error());
     http_request request = modelRequest(call);
-    const auto head = co_await connection.open(std::move(request),
-                                               runtime_clock::now() + call.limits.callLimit);
+    const auto head = co_await connection.sendAndReadHead(
+        std::move(request), runtime_clock::now() + call.limits.callLimit);
     if (!head)
         co_return failed(head.error());
     if (head->status != 200)
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -37,8 +37,8 @@
     limits.maxBodyBytes = c.bodyBytes;
     limits.maxTotalBodyBytes = settings.memoryBytes / 4;
     limits.maxConnections = settings.fileDescriptors / 2;
-    limits.requestTime = c.headerTime + bodyTime;
-    limits.idleTime = c.idleTime;
+    limits.requestTimeout = c.headerTime + bodyTime;
+    limits.idleTimeout = c.idleTimeout;
     return limits;
 }
 
@@ -230,7 +230,7 @@
     call->service = pickService(*call->route);
     const duration timeout = call->request.clientTimeout.value_or(call->route->timeout);
     call->deadline = call->arrivedAt + std::min(timeout, call->route->timeout);
-    writer.onPeerGone([call] {
+    writer.onPeerDisconnect([call] {
         call->abortReason = abort_reason::ClientDisconnected;
         call->abortSend(abort_reason::ClientDisconnected);
     });
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -206,7 +206,7 @@
                  {"new_connection", isNew},
                  {"after_event", call->lastEventId},
                  {"left_ms", toMilliseconds(fields.timeLeft)}});
-    auto head = co_await connection->open(std::move(out), call->deadline);
+    auto head = co_await connection->sendAndReadHead(std::move(out), call->deadline);
     if (!head) {
         // A request certainly did not run only if none of its bytes was sent.
         const bool didNotRun = head.error().ran == outcome::DidNotRun;
--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -19,11 +19,11 @@
     return take(peer, now, m_maxIdle);
 }
 
-http_connection connection_pool::take(const endpoint &peer, time_point now, duration mostIdle)
+http_connection connection_pool::take(const endpoint &peer, time_point now, duration maxIdleTime)
 {
     const auto found = m_idle.find(peer);
     while (found != m_idle.end() && !found->second.empty()) {
-        if (now - found->second.back().since > mostIdle)
+        if (now - found->second.back().since > maxIdleTime)
             break;
         // The newest one first, so that those that are not needed run out.
         idle_connection last = std::move(found->second.back());
@@ -39,8 +39,8 @@
     if (!connection.isReusable())
         return;
     duration keep = m_maxIdle;
-    if (const auto said = connection.keepAliveTime())
-        keep = std::min(keep, *said - keepAliveMargin);
+    if (const auto peerTimeout = connection.keepAliveTimeout())
+        keep = std::min(keep, *peerTimeout - keepAliveMargin);
     auto &list = m_idle[peer];
     if (keep > duration::zero() && list.size() < m_maxPerPeer)
         list.push_back({std::move(connection), now, now + keep});
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -20,8 +20,8 @@
     http_connection take(const endpoint &peer, time_point now);
     /// \brief Keeps \p connection for another request if it can take one.
     void give(const endpoint &peer, http_connection connection, time_point now);
-    /// \returns the same, unless all idle ones have been idle for longer than \p mostIdle.
-    http_connection take(const endpoint &peer, time_point now, duration mostIdle);
+    /// \returns the same, unless all idle ones have been idle for longer than \p maxIdleTime.
+    http_connection take(const endpoint &peer, time_point now, duration maxIdleTime);
     /// \brief Closes the connections that have been idle for too long.
     void expire(time_point now);
     /// \brief Closes the idle connections to \p peer.
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t maxResponseBody = 64U << 20U;
 constexpr std::size_t maxResponseHeader = 64U << 10U;
-constexpr std::size_t pieceSize = 16U << 10U;
+constexpr std::size_t readBufferSize = 16U << 10U;
 
 http_error makeError(beast::error_code code, bool timedOut, outcome ran)
 {
@@ -30,7 +30,7 @@
     return {kind, ran, code.message()};
 }
 
-http_error tooLong()
+http_error responseTooLarge()
 {
     return {http_error_kind::Malformed, outcome::Ran, "the response is too long"};
 }
@@ -53,11 +53,11 @@
     bool writing = false;
     std::optional<duration> keepAlive;
     /// Where the next piece of a body is read to. It is not cleared for every token of a stream.
-    std::array<char, pieceSize> piece;
+    std::array<char, readBufferSize> readBuffer;
     bool reusable = false;
 
     /// Closes the socket at \p until, which ends the operation in progress.
-    void watch(time_point until)
+    void closeAt(time_point until)
     {
         guard.start(until, [this] {
             beast::error_code ignored;
@@ -70,7 +70,7 @@
 namespace {
 
 /// \returns the "timeout" of a Keep-Alive header.
-std::optional<duration> keepAliveOf(const header_list &headers)
+std::optional<duration> parseKeepAliveTimeout(const header_list &headers)
 {
     const std::string_view value = headers.get("Keep-Alive");
     constexpr std::string_view name = "timeout=";
@@ -127,7 +127,7 @@
     return code == asio::error::would_block || code == asio::error::try_again;
 }
 
-std::optional<duration> http_connection::keepAliveTime() const
+std::optional<duration> http_connection::keepAliveTimeout() const
 {
     return m_state->keepAlive;
 }
@@ -148,7 +148,7 @@
         co_return tl::unexpected(http_error{http_error_kind::ConnectFailed, outcome::DidNotRun,
                                             "not an IP address: " + peer.host});
     }
-    m_state->watch(deadline);
+    m_state->closeAt(deadline);
     co_await m_state->socket.async_connect(tcp::endpoint(address, peer.port),
                                            asio::redirect_error(use_awaitable, code));
     m_state->guard.finish();
@@ -163,14 +163,14 @@
     co_return tl::expected<void, http_error>();
 }
 
-awaitable<tl::expected<response_head, http_error>> http_connection::open(http_request request,
-                                                                         time_point deadline)
+awaitable<tl::expected<response_head, http_error>>
+http_connection::sendAndReadHead(http_request request, time_point deadline)
 {
     namespace http = beast::http;
     const auto s = m_state;
     beast::error_code code;
     s->reusable = false;
-    s->watch(deadline);
+    s->closeAt(deadline);
     startWrite(s, std::move(request));
     auto &parser = s->parser.emplace();
     // Bodies that are streamed have no bound: finished books are large.
@@ -182,15 +182,15 @@
                                      asio::redirect_error(use_awaitable, code));
     s->guard.finish();
     if (code || s->expired()) {
-        const bool noByteLeft = !s->writing && s->sent == 0;
-        const outcome ran = noByteLeft ? outcome::DidNotRun : outcome::Unknown;
+        const bool nothingSent = !s->writing && s->sent == 0;
+        const outcome ran = nothingSent ? outcome::DidNotRun : outcome::Unknown;
         co_return tl::unexpected(makeError(code, s->expired(), ran));
     }
     response_head result;
     result.status = parser.get().result_int();
     for (const auto &field : parser.get())
         result.headers.add(field.name_string(), field.value());
-    s->keepAlive = keepAliveOf(result.headers);
+    s->keepAlive = parseKeepAliveTimeout(result.headers);
     co_return result;
 }
 
@@ -199,16 +199,16 @@
     namespace http = beast::http;
     auto &parser = *m_state->parser;
     std::size_t length = 0;
-    m_state->watch(deadline);
+    m_state->closeAt(deadline);
     beast::error_code code;
     while (length == 0 && !parser.is_done()) {
-        parser.get().body().data = m_state->piece.data();
-        parser.get().body().size = pieceSize;
+        parser.get().body().data = m_state->readBuffer.data();
+        parser.get().body().size = readBufferSize;
         co_await http::async_read_some(m_state->socket, m_state->buffer, parser,
                                        asio::redirect_error(use_awaitable, code));
         if (code == http::error::need_buffer)
             code = {};
-        length = pieceSize - parser.get().body().size;
+        length = readBufferSize - parser.get().body().size;
         if (code || m_state->expired())
             break;
     }
@@ -217,13 +217,13 @@
         co_return tl::unexpected(makeError(code, m_state->expired(), outcome::Unknown));
     if (parser.is_done())
         m_state->reusable = parser.get().keep_alive() && !parser.get().need_eof();
-    co_return std::string(m_state->piece.data(), length);
+    co_return std::string(m_state->readBuffer.data(), length);
 }
 
 awaitable<tl::expected<http_response, http_error>> http_connection::exchange(http_request request,
                                                                              time_point deadline)
 {
-    auto head = co_await open(std::move(request), deadline);
+    auto head = co_await sendAndReadHead(std::move(request), deadline);
     if (!head)
         co_return tl::unexpected(head.error());
     http_response response{head->status, std::move(head->headers), {}};
@@ -236,7 +236,7 @@
         response.body += *piece;
         if (response.body.size() > maxResponseBody) {
             close();
-            co_return tl::unexpected(tooLong());
+            co_return tl::unexpected(responseTooLarge());
         }
     }
 }
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -34,8 +34,8 @@
     awaitable<tl::expected<http_response, http_error>> exchange(http_request request,
                                                                 time_point deadline);
     /// \brief Sends \p request and reads the head of the response.
-    awaitable<tl::expected<response_head, http_error>> open(http_request request,
-                                                            time_point deadline);
+    awaitable<tl::expected<response_head, http_error>> sendAndReadHead(http_request request,
+                                                                       time_point deadline);
     /// \brief Reads the next piece of the body. \returns an empty string at its end.
     awaitable<tl::expected<std::string, http_error>> readSome(time_point deadline);
 
@@ -43,7 +43,7 @@
     /// the peer wants to go on, and no byte has come that belongs to no request.
     bool isReusable() const;
     /// \returns for how long the peer keeps the idle connection, if it said so.
-    std::optional<duration> keepAliveTime() const;
+    std::optional<duration> keepAliveTimeout() const;
     /// \brief Closes the connection at once.
     void close();
 
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -29,7 +29,7 @@
     /// On a strand, since stopAccepting() closes it from another thread than accepts.
     tcp::acceptor acceptor;
     std::atomic<bool> stopping{false};
-    std::atomic<bool> closing{false};
+    std::atomic<bool> announcingClose{false};
     std::atomic<int> connections{0};
     std::atomic<int> refusing{0};
     std::atomic<int> inProgress{0};
@@ -41,48 +41,52 @@
 using request_parser = http::request_parser<http::string_body>;
 
 constexpr std::size_t readSize = 16U << 10U;
-constexpr duration refusalTime = seconds(1);
-constexpr duration retryWhenBusy = seconds(1);
+constexpr duration refusalTimeout = seconds(1);
+constexpr duration overloadRetryAfter = seconds(1);
 /// Bodies up to this size are not counted: the header bound covers as much.
-constexpr std::uint64_t smallBody = 64U << 10U;
+constexpr std::uint64_t maxUncountedBodyBytes = 64U << 10U;
 
 /// \brief The share of the server's body memory that one request holds.
-class body_share
+class body_reservation
 {
 public:
-    explicit body_share(http_server::state &server) : m_server(server) { }
-    ~body_share() { m_server.bodyBytes -= m_taken; }
-    body_share(const body_share &) = delete;
-    body_share &operator=(const body_share &) = delete;
+    explicit body_reservation(http_server::state &server) : m_server(server) { }
+    ~body_reservation() { m_server.bodyBytes -= m_reservedBytes; }
+    body_reservation(const body_reservation &) = delete;
+    body_reservation &operator=(const body_reservation &) = delete;
 
     /// \brief Takes room for \p parser's body. A body of unknown length takes the most it may have.
     /// \returns whether there was room.
     bool take(const request_parser &parser)
     {
         const auto length = parser.content_length();
-        if (!parser.chunked() && length.value_or(0) <= smallBody)
+        if (!parser.chunked() && length.value_or(0) <= maxUncountedBodyBytes)
             return true;
-        m_taken = static_cast<std::int64_t>(
+        m_reservedBytes = static_cast<std::int64_t>(
             length ? std::min<std::uint64_t>(*length, m_server.limits.maxBodyBytes)
                    : m_server.limits.maxBodyBytes);
-        return (m_server.bodyBytes += m_taken) <= m_server.limits.maxTotalBodyBytes;
+        return (m_server.bodyBytes += m_reservedBytes) <= m_server.limits.maxTotalBodyBytes;
     }
 
 private:
     http_server::state &m_server;
-    std::int64_t m_taken = 0;
+    std::int64_t m_reservedBytes = 0;
 };
 
 /// \brief How the reading of a request ended.
-enum class read_result { Whole, Quiet, Malformed, TooSlow, NoRoom };
+enum class read_result { Complete, PeerClosed, Malformed, RequestTimeout, NoBodyMemory };
 
 problem problemOf(read_result result, beast::error_code code)
 {
-    if (result == read_result::TooSlow)
+    if (result == read_result::RequestTimeout)
         return {408, "request-timeout", "The request came too slowly", "", outcome::DidNotRun, {}};
-    if (result == read_result::NoRoom) {
-        return {503,          "busy", "The daemon holds too many bodies", "", outcome::DidNotRun,
-                retryWhenBusy};
+    if (result == read_result::NoBodyMemory) {
+        return {503,
+                "busy",
+                "The daemon holds too many bodies",
+                "",
+                outcome::DidNotRun,
+                overloadRetryAfter};
     }
     if (code == http::error::body_limit)
         return {413, "body-too-large", "The body is too large", "", outcome::DidNotRun, {}};
@@ -94,7 +98,7 @@
 problem tooManyConnections()
 {
     return {503, "too-many-connections", "The daemon has too many connections",
-            "",  outcome::DidNotRun,     retryWhenBusy};
+            "",  outcome::DidNotRun,     overloadRetryAfter};
 }
 
 /// \param fieldCount fields of the head. Those of a trailer come after them and are left out: they
@@ -138,20 +142,20 @@
 }
 
 awaitable<read_result> readRequest(timed_socket &socket, beast::flat_buffer &buffer,
-                                   request_parser &parser, body_share &share,
+                                   request_parser &parser, body_reservation &share,
                                    beast::error_code &code, std::size_t &fieldCount)
 {
-    bool headSeen = false;
+    bool headParsed = false;
     while (true) {
         parseSome(buffer, parser, code);
         if (code)
             co_return read_result::Malformed;
-        if (!headSeen && parser.is_header_done()) {
-            headSeen = true;
+        if (!headParsed && parser.is_header_done()) {
+            headParsed = true;
             fieldCount
                 = static_cast<std::size_t>(std::distance(parser.get().begin(), parser.get().end()));
             if (!share.take(parser))
-                co_return read_result::NoRoom;
+                co_return read_result::NoBodyMemory;
             if (!parser.is_done()
                 && beast::iequals(parser.get()[http::field::expect], "100-continue"))
                 co_await sendContinue(socket);
@@ -159,22 +163,22 @@
                 continue;
         }
         if (parser.is_done())
-            co_return read_result::Whole;
+            co_return read_result::Complete;
         buffer.commit(co_await socket.socket.async_read_some(
             buffer.prepare(readSize), asio::redirect_error(use_awaitable, code)));
         if (socket.expired())
-            co_return read_result::TooSlow;
+            co_return read_result::RequestTimeout;
         if (code)
-            co_return read_result::Quiet; // the peer is gone: there is nobody to answer
+            co_return read_result::PeerClosed; // the peer is gone: there is nobody to answer
     }
 }
 
 awaitable<bool> answer(http_server::state &server, timed_socket &socket,
                        http::request<http::string_body> in, std::size_t fieldCount)
 {
-    const bool keepAlive = in.keep_alive() && !server.stopping && !server.closing;
+    const bool keepAlive = in.keep_alive() && !server.stopping && !server.announcingClose;
     const bool headOnly = in.method() == http::verb::head;
-    server_writer writer(socket, keepAlive, headOnly, server.limits.writeTime);
+    server_writer writer(socket, keepAlive, headOnly, server.limits.writeTimeout);
     ++server.inProgress;
     bool failed = false;
     try {
@@ -183,43 +187,43 @@
         logEvent(log_level::Error, "handler_failed", {{"detail", std::string(e.what())}});
         failed = true;
     }
-    if (failed && !writer.begun()) {
+    if (failed && !writer.responseStarted()) {
         const problem p{500, "internal-error", "The daemon failed", "", outcome::Unknown, {}};
         http_response reply = toResponse(p);
         co_await writer.write(std::move(reply));
     }
-    socket.unwatchPeer();
+    socket.stopWatchingForDisconnect();
     --server.inProgress;
     co_return keepAlive &&writer.finished();
 }
 
 /// \returns whether the connection waits for a next request after this one.
-awaitable<bool> serveOne(http_server::state &server, timed_socket &socket,
-                         beast::flat_buffer &buffer)
+awaitable<bool> serveRequest(http_server::state &server, timed_socket &socket,
+                             beast::flat_buffer &buffer)
 {
     beast::error_code code;
     if (buffer.size() == 0) {
-        socket.startRead(server.limits.idleTime);
+        socket.startReadTimeout(server.limits.idleTimeout);
         co_await socket.socket.async_wait(tcp::socket::wait_read,
                                           asio::redirect_error(use_awaitable, code));
-        socket.finish();
+        socket.stopTimeout();
         if (code)
             co_return false;
     }
     request_parser parser;
     parser.header_limit(static_cast<std::uint32_t>(server.limits.maxHeaderBytes));
     parser.body_limit(server.limits.maxBodyBytes);
-    body_share share(server);
-    socket.startRead(server.limits.requestTime);
+    body_reservation share(server);
+    socket.startReadTimeout(server.limits.requestTimeout);
     std::size_t fieldCount = 0;
     const read_result result
         = co_await readRequest(socket, buffer, parser, share, code, fieldCount);
-    socket.finish();
-    if (result == read_result::Quiet)
+    socket.stopTimeout();
+    if (result == read_result::PeerClosed)
         co_return false;
-    if (result == read_result::Whole)
+    if (result == read_result::Complete)
         co_return co_await answer(server, socket, parser.release(), fieldCount);
-    server_writer writer(socket, false, false, server.limits.writeTime);
+    server_writer writer(socket, false, false, server.limits.writeTimeout);
     http_response reply = toResponse(problemOf(result, code));
     if (co_await writer.write(std::move(reply)))
         co_await socket.linger();
@@ -231,7 +235,7 @@
     {
         timed_socket socket(std::move(raw));
         beast::flat_buffer buffer;
-        while (co_await serveOne(*server, socket, buffer)) {
+        while (co_await serveRequest(*server, socket, buffer)) {
             // An idle connection keeps no memory from its last request.
             if (buffer.size() == 0)
                 buffer = beast::flat_buffer();
@@ -247,7 +251,7 @@
 {
     {
         timed_socket socket(std::move(raw));
-        server_writer writer(socket, false, false, refusalTime);
+        server_writer writer(socket, false, false, refusalTimeout);
         http_response reply = toResponse(tooManyConnections());
         if (co_await writer.write(std::move(reply)))
             co_await socket.linger();
@@ -255,7 +259,7 @@
     --server->refusing;
 }
 
-void takeConnection(const std::shared_ptr<http_server::state> &server, tcp::socket socket)
+void acceptConnection(const std::shared_ptr<http_server::state> &server, tcp::socket socket)
 {
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -263,7 +267,7 @@
     if (server->connections < server->limits.maxConnections) {
         ++server->connections;
         spawn(executor, "serveConnection", serveConnection(server, std::move(socket)));
-    } else if (server->refusing < server->limits.maxRefusing) {
+    } else if (server->refusing < server->limits.maxConcurrentRefusals) {
         ++server->refusing;
         spawn(executor, "refuseConnection", refuseConnection(server, std::move(socket)));
     }
@@ -283,7 +287,7 @@
             co_await sleepFor(milliseconds(50));
             continue;
         }
-        takeConnection(server, std::move(socket));
+        acceptConnection(server, std::move(socket));
     }
 }
 
@@ -332,7 +336,7 @@
 
 void http_server::announceClose()
 {
-    m_state->closing = true;
+    m_state->announcingClose = true;
 }
 
 void http_server::setLimits(const http_limits &limits)
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -21,13 +21,13 @@
     std::int64_t maxTotalBodyBytes = 128LL << 20U;
     int maxConnections = 4096;
     /// Connections beyond these that are still told 503 before they are closed.
-    int maxRefusing = 64;
+    int maxConcurrentRefusals = 64;
     /// Longest time from the first byte of a request to its last.
-    duration requestTime = seconds(20);
+    duration requestTimeout = seconds(20);
     /// Longest time a connection may wait for its next request.
-    duration idleTime = seconds(75);
+    duration idleTimeout = seconds(75);
     /// Longest time a write may stand still because the peer does not read.
-    duration writeTime = seconds(30);
+    duration writeTimeout = seconds(30);
 };
 
 /// \brief Writes one response, whole or piece by piece.
@@ -44,7 +44,7 @@
     /// \brief Writes the last chunk.
     virtual awaitable<bool> end() = 0;
     /// \brief Calls \p gone if the peer closes its connection while the answer is under way.
-    virtual void onPeerGone(const std::function<void()> &gone) { static_cast<void>(gone); }
+    virtual void onPeerDisconnect(const std::function<void()> &gone) { static_cast<void>(gone); }
 };
 
 using request_handler = std::function<awaitable<void>(const http_request &, response_writer &)>;
--- a/src/http/problem.cpp
+++ b/src/http/problem.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// \returns \p d in whole seconds, rounded up, since Retry-After has no fractions.
-std::int64_t wholeSeconds(duration d)
+std::int64_t secondsRoundedUp(duration d)
 {
     return (toMilliseconds(d) + 999) / 1000;
 }
@@ -33,7 +33,7 @@
     r.status = p.status;
     r.headers.add("Content-Type", "application/problem+json");
     if (p.retryAfter)
-        r.headers.add("Retry-After", std::to_string(wholeSeconds(*p.retryAfter)));
+        r.headers.add("Retry-After", std::to_string(secondsRoundedUp(*p.retryAfter)));
     r.body = toJson(p);
     return r;
 }
--- a/src/http/server_writer.cpp
+++ b/src/http/server_writer.cpp
@@ -15,9 +15,9 @@
 awaitable<bool> writeBuffers(timed_socket &socket, duration limit, const Buffers &buffers)
 {
     beast::error_code code;
-    socket.startWrite(limit);
+    socket.startWriteTimeout(limit);
     co_await asio::async_write(socket.socket, buffers, asio::redirect_error(use_awaitable, code));
-    socket.finish();
+    socket.stopTimeout();
     co_return !code;
 }
 
@@ -34,10 +34,10 @@
     if (m_headOnly)
         out.body().clear();
     beast::error_code code;
-    m_begun = true;
-    m_socket.startWrite(m_writeTime);
+    m_responseStarted = true;
+    m_socket.startWriteTimeout(m_writeTimeout);
     co_await http::async_write(m_socket.socket, out, asio::redirect_error(use_awaitable, code));
-    m_socket.finish();
+    m_socket.stopTimeout();
     m_finished = !code;
     co_return !code;
 }
@@ -51,11 +51,11 @@
     out.chunked(true);
     http::response_serializer<http::empty_body> serializer(out);
     beast::error_code code;
-    m_begun = true;
-    m_socket.startWrite(m_writeTime);
+    m_responseStarted = true;
+    m_socket.startWriteTimeout(m_writeTimeout);
     co_await http::async_write_header(m_socket.socket, serializer,
                                       asio::redirect_error(use_awaitable, code));
-    m_socket.finish();
+    m_socket.stopTimeout();
     co_return !code;
 }
 
@@ -64,7 +64,7 @@
     if (bytes.empty() || m_headOnly)
         co_return true;
     const auto chunk = http::make_chunk(asio::const_buffer(bytes.data(), bytes.size()));
-    co_return co_await writeBuffers(m_socket, m_writeTime, chunk);
+    co_return co_await writeBuffers(m_socket, m_writeTimeout, chunk);
 }
 
 awaitable<bool> server_writer::end()
@@ -73,7 +73,7 @@
         m_finished = true;
         co_return true;
     }
-    m_finished = co_await writeBuffers(m_socket, m_writeTime, http::make_chunk_last());
+    m_finished = co_await writeBuffers(m_socket, m_writeTimeout, http::make_chunk_last());
     co_return m_finished;
 }
 
--- a/src/http/sse.cpp
+++ b/src/http/sse.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// \returns the value of \p line if it is a line of \p field.
-std::optional<std::string_view> valueOf(std::string_view line, std::string_view field)
+std::optional<std::string_view> fieldValue(std::string_view line, std::string_view field)
 {
     if (!line.starts_with(field) || line.size() == field.size() || line[field.size()] != ':')
         return std::nullopt;
@@ -23,15 +23,15 @@
 {
     const std::size_t done = std::exchange(m_start, 0);
     m_buffer.erase(0, done);
-    m_place -= done;
+    m_lineStart -= done;
     m_buffer += bytes;
 }
 
-void sse_reader::takeLine(std::string_view line)
+void sse_reader::parseLine(std::string_view line)
 {
-    if (const auto id = valueOf(line, "id"))
+    if (const auto id = fieldValue(line, "id"))
         m_event.id = *id;
-    const auto data = valueOf(line, "data");
+    const auto data = fieldValue(line, "data");
     if (!data)
         return;
     if (m_event.data)
@@ -44,19 +44,19 @@
 std::optional<sse_event> sse_reader::nextEvent()
 {
     while (true) {
-        const std::size_t end = m_buffer.find('\n', m_place);
+        const std::size_t end = m_buffer.find('\n', m_lineStart);
         if (end == std::string::npos)
             return std::nullopt;
-        std::string_view line = std::string_view(m_buffer).substr(m_place, end - m_place);
-        m_place = end + 1;
+        std::string_view line = std::string_view(m_buffer).substr(m_lineStart, end - m_lineStart);
+        m_lineStart = end + 1;
         if (line.ends_with('\r'))
             line.remove_suffix(1);
         if (!line.empty()) {
-            takeLine(line);
+            parseLine(line);
             continue;
         }
-        m_event.raw = m_buffer.substr(m_start, m_place - m_start);
-        m_start = m_place;
+        m_event.raw = m_buffer.substr(m_start, m_lineStart - m_start);
+        m_start = m_lineStart;
         return std::exchange(m_event, {});
     }
 }
--- a/src/http/sse.h
+++ b/src/http/sse.h
@@ -22,7 +22,7 @@
 {
 public:
     /// Longest event that is waited for.
-    static constexpr std::size_t maxEvent = 1U << 20U;
+    static constexpr std::size_t maxEventBytes = 1U << 20U;
 
     void feed(std::string_view bytes);
     /// \returns the next whole event, or nothing yet. A blank line alone is an event without data.
@@ -31,16 +31,16 @@
     std::optional<std::string> next();
     /// \returns the bytes of the unfinished event.
     std::string_view unfinished() const { return std::string_view(m_buffer).substr(m_start); }
-    /// \returns whether an unfinished event has grown past maxEvent.
-    bool isTooLong() const { return unfinished().size() > maxEvent; }
+    /// \returns whether an unfinished event has grown past maxEventBytes.
+    bool isTooLong() const { return unfinished().size() > maxEventBytes; }
 
 private:
-    void takeLine(std::string_view line);
+    void parseLine(std::string_view line);
 
     std::string m_buffer;
     /// Start of the unfinished event, and of its line that comes next.
     std::size_t m_start = 0;
-    std::size_t m_place = 0;
+    std::size_t m_lineStart = 0;
     sse_event m_event;
 };
 
--- a/src/http/timed_socket.cpp
+++ b/src/http/timed_socket.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr duration lingerTime = seconds(1);
+constexpr duration lingerTimeout = seconds(1);
 constexpr std::size_t lingerBytes = 256U << 10U;
 
 /// \returns whether nothing more will come from the peer of \p socket, which is readable.
-bool isAtEnd(tcp::socket &socket)
+bool hasPeerClosed(tcp::socket &socket)
 {
     boost::system::error_code code;
     char byte = 0;
@@ -29,11 +29,11 @@
 
 timed_socket::~timed_socket()
 {
-    if (m_watching)
-        *m_watching = false;
+    if (m_watchActive)
+        *m_watchActive = false;
 }
 
-void timed_socket::startRead(duration limit)
+void timed_socket::startReadTimeout(duration limit)
 {
     m_guard.start(runtime_clock::now() + limit, [this] {
         boost::system::error_code ignored;
@@ -41,7 +41,7 @@
     });
 }
 
-void timed_socket::startWrite(duration limit)
+void timed_socket::startWriteTimeout(duration limit)
 {
     m_guard.start(runtime_clock::now() + limit, [this] {
         boost::system::error_code ignored;
@@ -49,24 +49,24 @@
     });
 }
 
-void timed_socket::watchPeer(std::function<void()> onGone)
+void timed_socket::watchForDisconnect(std::function<void()> onDisconnect)
 {
-    unwatchPeer();
-    m_watching = std::make_shared<bool>(true);
-    socket.async_wait(
-        tcp::socket::wait_read,
-        [this, watching = m_watching, onGone = std::move(onGone)](boost::system::error_code code) {
-            if (!code && *watching && isAtEnd(socket))
-                onGone();
-        });
+    stopWatchingForDisconnect();
+    m_watchActive = std::make_shared<bool>(true);
+    socket.async_wait(tcp::socket::wait_read,
+                      [this, watching = m_watchActive,
+                       onDisconnect = std::move(onDisconnect)](boost::system::error_code code) {
+                          if (!code && *watching && hasPeerClosed(socket))
+                              onDisconnect();
+                      });
 }
 
-void timed_socket::unwatchPeer()
+void timed_socket::stopWatchingForDisconnect()
 {
-    if (!m_watching)
+    if (!m_watchActive)
         return;
-    *m_watching = false;
-    m_watching.reset();
+    *m_watchActive = false;
+    m_watchActive.reset();
     boost::system::error_code ignored;
     socket.cancel(ignored);
 }
@@ -77,12 +77,12 @@
     socket.shutdown(tcp::socket::shutdown_send, code);
     std::array<char, 4096> discarded{};
     std::size_t total = 0;
-    startRead(lingerTime);
+    startReadTimeout(lingerTimeout);
     while (!code && !expired() && total < lingerBytes) {
         total += co_await socket.async_read_some(asio::buffer(discarded),
                                                  asio::redirect_error(use_awaitable, code));
     }
-    finish();
+    stopTimeout();
 }
 
 } // namespace azurehill
--- a/src/http/timed_socket.h
+++ b/src/http/timed_socket.h
@@ -19,18 +19,18 @@
     /// \brief Cancels the read in progress unless finish() comes within \p limit: a peer that sends
     /// slowly would otherwise hold its memory for ever. The reader looks at expired() after every
     /// read, since a read that has just completed can't be cancelled any more.
-    void startRead(duration limit);
+    void startReadTimeout(duration limit);
     /// \brief Closes the socket unless finish() comes within \p limit. Closing, unlike cancelling,
     /// also ends the later steps of a write that is between two of them.
-    void startWrite(duration limit);
-    void finish() { m_guard.finish(); }
+    void startWriteTimeout(duration limit);
+    void stopTimeout() { m_guard.finish(); }
     bool expired() const { return m_guard.expired(); }
 
-    /// \brief Calls \p onGone when the peer closes its side before unwatchPeer(). A peer that has
-    /// already sent its next request is not watched.
-    void watchPeer(std::function<void()> onGone);
+    /// \brief Calls \p onDisconnect when the peer closes its side before
+    /// stopWatchingForDisconnect(). A peer that has already sent its next request is not watched.
+    void watchForDisconnect(std::function<void()> onDisconnect);
     /// \brief Ends the watch. No other operation may be in progress.
-    void unwatchPeer();
+    void stopWatchingForDisconnect();
 
     /// \brief Ends the connection so that the last response reaches the peer: closing a socket with
     /// unread bytes would reset it, and the peer would lose what it has not read yet.
@@ -40,7 +40,7 @@
 
 private:
     deadline_guard m_guard;
-    std::shared_ptr<bool> m_watching;
+    std::shared_ptr<bool> m_watchActive;
 };
 
 } // namespace azurehill
--- a/src/routes/routing_config.h
+++ b/src/routes/routing_config.h
@@ -85,7 +85,7 @@
     std::size_t headerBytes = 16U << 10U;
     std::size_t bodyBytes = 4U << 20U;
     duration headerTime = seconds(10);
-    duration idleTime = seconds(60);
+    duration idleTimeout = seconds(60);
 };
 
 /// \brief Routing configuration: one version of the operator's routes, services, client limits and
--- a/test/io/door_test.cpp
+++ b/test/io/door_test.cpp
@@ -250,7 +250,7 @@
             const endpoint peer{"127.0.0.1", world.daemons.front().port};
             const auto until = runtime_clock::now() + seconds(1000);
             REQUIRE(co_await connection.connect(peer, until));
-            const auto head = co_await connection.open(book, until);
+            const auto head = co_await connection.sendAndReadHead(book, until);
             REQUIRE(head);
             CHECK(head->headers.get("Content-Type") == "application/epub+zip");
             while (true) {
--- a/test/io/entry_fixture.h
+++ b/test/io/entry_fixture.h
@@ -97,7 +97,7 @@
             }
             if (reply.empty())
                 co_return;
-            const std::string id = valueOf(request, "X-Azurehill-Request-Id: ");
+            const std::string id = fieldValue(request, "X-Azurehill-Request-Id: ");
             for (std::size_t at = reply.find(": ID"); at != std::string::npos;
                  at = reply.find(": ID", at + 1))
                 reply.replace(at + 2, 2, id);
@@ -122,7 +122,7 @@
                                    asio::redirect_error(use_awaitable, code));
     }
 
-    static std::string valueOf(const std::string &request, const std::string &field)
+    static std::string fieldValue(const std::string &request, const std::string &field)
     {
         const std::size_t start = request.find(field);
         if (start == std::string::npos)
@@ -136,7 +136,7 @@
         while (true) {
             const std::size_t head = buffer.find("\r\n\r\n");
             if (head != std::string::npos) {
-                const std::string length = valueOf(buffer, "Content-Length: ");
+                const std::string length = fieldValue(buffer, "Content-Length: ");
                 const std::size_t size = head + 4 + (length.empty() ? 0 : std::stoul(length));
                 if (buffer.size() >= size) {
                     const std::string request = buffer.substr(0, size);
--- a/test/io/http_server_test.cpp
+++ b/test/io/http_server_test.cpp
@@ -32,7 +32,7 @@
     }
 
     /// \brief Waits until no connection is left.
-    void waitUntilFree()
+    void waitUntilAllClosed()
     {
         auto body = [&]() -> awaitable<void> {
             while (server.openConnections() > 0)
@@ -51,8 +51,8 @@
     http_limits limits;
     limits.maxHeaderBytes = 1024;
     limits.maxBodyBytes = 2048;
-    limits.idleTime = std::chrono::hours(1000);
-    limits.requestTime = seconds(20);
+    limits.idleTimeout = std::chrono::hours(1000);
+    limits.requestTimeout = seconds(20);
     return limits;
 }
 
@@ -114,7 +114,7 @@
         CHECK(refusedWith(
             head + "Transfer-Encoding: chunked\r\n\r\n1000\r\n" + std::string(4096, 'x'), "413"));
     }
-    echo.waitUntilFree();
+    echo.waitUntilAllClosed();
 }
 
 TEST_CASE("Requests at the bounds are served")
@@ -208,14 +208,14 @@
         runIn(echo.context, advanceUntil(done, milliseconds(1)));
         CHECK(isProblem(answer, "408"));
     }
-    echo.waitUntilFree();
+    echo.waitUntilAllClosed();
 }
 
 TEST_CASE("An idle connection is closed")
 {
     const paused_clock clock;
     http_limits limits = smallLimits();
-    limits.idleTime = seconds(75);
+    limits.idleTimeout = seconds(75);
     echo_server echo(limits);
     bool done = false;
     std::string answer;
@@ -226,7 +226,7 @@
     spawn(echo.context.get_executor(), "client", body());
     runIn(echo.context, advanceUntil(done, seconds(1)));
     CHECK(answer.empty());
-    echo.waitUntilFree();
+    echo.waitUntilAllClosed();
 }
 
 // More callers come than the daemon has places for. Those beyond the bound are told when to come
@@ -235,7 +235,7 @@
 {
     http_limits limits = smallLimits();
     limits.maxConnections = 1;
-    limits.maxRefusing = 1;
+    limits.maxConcurrentRefusals = 1;
     echo_server echo(limits);
     auto body = [&]() -> awaitable<void> {
         raw_client first(echo.context);
--- a/test/io/inner_test.cpp
+++ b/test/io/inner_test.cpp
@@ -60,7 +60,7 @@
     static http_limits limits()
     {
         http_limits l;
-        l.idleTime = std::chrono::hours(1);
+        l.idleTimeout = std::chrono::hours(1);
         return l;
     }
 
--- a/test/io/platform_codec_test.cpp
+++ b/test/io/platform_codec_test.cpp
@@ -106,7 +106,7 @@
         CHECK(toMilliseconds(r->retention) == 60500);
         CHECK((*book)->service("s1")->engine->tokensPerEvent == 2);
         CHECK((*book)->limits().headerBytes == 100);
-        CHECK((*book)->limits().idleTime == seconds(15));
+        CHECK((*book)->limits().idleTimeout == seconds(15));
         // What may be repeated is not known, so nothing is.
         CHECK((*book)->find("h", "/b/x")->kind == route_kind::NonIdempotent);
         CHECK_FALSE(decodeConfiguration("{}"));
--- a/test/io/settings_test.cpp
+++ b/test/io/settings_test.cpp
@@ -53,7 +53,7 @@
         CHECK(c.values.name == "entry-1");
         CHECK(c.values.limits.maxConnections == http_limits().maxConnections);
         CHECK(c.values.limits.maxBodyBytes == http_limits().maxBodyBytes);
-        CHECK(c.values.limits.idleTime == http_limits().idleTime);
+        CHECK(c.values.limits.idleTimeout == http_limits().idleTimeout);
         CHECK(c.values.commit.interval == commit_settings().interval);
         CHECK(c.values.commit.maxRecords == commit_settings().maxRecords);
     }
--- a/test/io/stream_test.cpp
+++ b/test/io/stream_test.cpp
@@ -20,7 +20,7 @@
     }
     SUBCASE("an event without an end is not waited for for ever")
     {
-        reader.feed("data: " + std::string(sse_reader::maxEvent, 'x'));
+        reader.feed("data: " + std::string(sse_reader::maxEventBytes, 'x'));
         CHECK_FALSE(reader.next());
         CHECK(reader.isTooLong());
     }
--- a/test/process/caller.cpp
+++ b/test/process/caller.cpp
@@ -21,7 +21,7 @@
         into.error = connected.error();
         co_return;
     }
-    const auto head = co_await connection.open(std::move(request), deadline);
+    const auto head = co_await connection.sendAndReadHead(std::move(request), deadline);
     if (!head) {
         into.error = head.error();
         co_return;
