--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// The peer's clock for its idle time-out began before ours: a request must not cross its close.
+/// The peer's idle timeout starts earlier than ours. The margin keeps a request from crossing the
+/// peer's close of the connection.
 constexpr duration keepAliveMargin = milliseconds(500);
 
 } // namespace
@@ -25,7 +26,7 @@
     while (found != m_idle.end() && !found->second.empty()) {
         if (now - found->second.back().since > maxIdleTime)
             break;
-        // The newest one first, so that those that are not needed run out.
+        // Most recently used first, so that surplus connections reach their idle timeout.
         idle_connection last = std::move(found->second.back());
         found->second.pop_back();
         if (now < last.until && last.connection.isReusable())
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -7,22 +7,24 @@
 
 namespace azurehill {
 
-/// \brief Keeps idle client connections for their next request. Used from one thread.
+/// \brief Pool of idle keep-alive client connections, by peer. Not thread-safe: use it from one
+/// thread.
 class connection_pool
 {
 public:
-    /// \param maxIdle longest time that a connection may lie idle. A connection can die without a
-    /// word while new ones work: the bound makes that rare.
-    /// \param maxPerPeer idle connections kept to one peer.
+    /// \param maxIdle maximum idle time of a connection. A connection can be lost without a FIN or
+    /// RST while new connections to the peer work; the bound makes reuse of such a connection rare.
+    /// \param maxPerPeer maximum number of idle connections kept per peer.
     connection_pool(asio::any_io_executor executor, duration maxIdle, std::size_t maxPerPeer);
 
-    /// \returns an idle connection to \p peer that looks alive, or one that is not connected yet.
+    /// \returns an idle connection to \p peer that is still reusable, or one that is not connected
+    /// yet.
     http_connection take(const endpoint &peer, time_point now);
-    /// \brief Keeps \p connection for another request if it can take one.
+    /// \brief Returns \p connection to the pool, or closes it if it is not reusable.
     void give(const endpoint &peer, http_connection connection, time_point now);
-    /// \returns the same, unless all idle ones have been idle for longer than \p maxIdleTime.
+    /// \brief As above, but reuses only connections idle for no longer than \p maxIdleTime.
     http_connection take(const endpoint &peer, time_point now, duration maxIdleTime);
-    /// \brief Closes the connections that have been idle for too long.
+    /// \brief Closes the connections whose idle timeout has passed.
     void expire(time_point now);
     /// \brief Closes the idle connections to \p peer.
     void drop(const endpoint &peer);
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief HTTP/1.1 by Boost.Beast behind plain types, so that Beast is compiled in this module
-/// only.
+/// \brief HTTP/1.1 client and server. The interface hides Boost.Beast, so that only this module
+/// compiles it.
 
 #include "http/http_client.h"
 #include "http/http_error.h"
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -32,7 +32,7 @@
 
 http_error responseTooLarge()
 {
-    return {http_error_kind::Malformed, outcome::Ran, "the response is too long"};
+    return {http_error_kind::Malformed, outcome::Ran, "response body exceeds 64 MiB"};
 }
 
 } // namespace
@@ -46,17 +46,18 @@
     beast::flat_buffer buffer;
     std::optional<beast::http::response_parser<beast::http::buffer_body>> parser;
     std::string host;
-    /// The request that is on its way out.
+    /// The request being written.
     beast::http::request<beast::http::string_body> out;
     beast::error_code writeError;
     std::size_t sent = 0;
     bool writing = false;
     std::optional<duration> keepAlive;
-    /// Where the next piece of a body is read to. It is not cleared for every token of a stream.
+    /// Buffer for the next part of a body. It is a member so that it isn't zeroed for each read: a
+    /// streamed body takes a read per token.
     std::array<char, readBufferSize> readBuffer;
     bool reusable = false;
 
-    /// Closes the socket at \p until, which ends the operation in progress.
+    /// Closes the socket at \p until, which aborts the operation in progress.
     void closeAt(time_point until)
     {
         guard.start(until, [this] {
@@ -69,7 +70,7 @@
 
 namespace {
 
-/// \returns the "timeout" of a Keep-Alive header.
+/// \returns the "timeout" parameter of the Keep-Alive header, if present.
 std::optional<duration> parseKeepAliveTimeout(const header_list &headers)
 {
     const std::string_view value = headers.get("Keep-Alive");
@@ -117,7 +118,8 @@
 {
     if (!m_state->reusable || m_state->writing || !m_state->socket.is_open())
         return false;
-    // A second answer to an earlier request would be taken for the answer to the next one.
+    // Unread bytes, such as a second response to the last request, would be parsed as the response
+    // to the next one.
     if (m_state->buffer.size() > 0)
         return false;
     beast::error_code code;
@@ -173,11 +175,12 @@
     s->closeAt(deadline);
     startWrite(s, std::move(request));
     auto &parser = s->parser.emplace();
-    // Bodies that are streamed have no bound: finished books are large.
+    // Streamed bodies are unbounded, since finished books are large. exchange() has its own limit.
     parser.body_limit(boost::none);
     parser.skip(s->out.method() == http::verb::head);
     parser.header_limit(maxResponseHeader);
-    // The peer may answer before it has read a long request: the write goes on beside the read.
+    // The peer may respond before it has read a long request, so the write runs concurrently with
+    // the read.
     co_await http::async_read_header(s->socket, s->buffer, parser,
                                      asio::redirect_error(use_awaitable, code));
     s->guard.finish();
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -12,14 +12,14 @@
 
 namespace azurehill {
 
-/// \brief Head of a response whose body is still to come.
+/// \brief Status and headers of a response whose body has not been read yet.
 struct response_head
 {
     int status = 0;
     header_list headers;
 };
 
-/// \brief One client connection. Each call is bounded by a deadline of the project's clock.
+/// \brief An HTTP/1.1 client connection. Each operation has a deadline, measured by runtime_clock.
 class http_connection
 {
 public:
@@ -33,18 +33,18 @@
     /// \brief Sends \p request and reads the whole response.
     awaitable<tl::expected<http_response, http_error>> exchange(http_request request,
                                                                 time_point deadline);
-    /// \brief Sends \p request and reads the head of the response.
+    /// \brief Sends \p request and reads the head of the response. readSome() reads its body.
     awaitable<tl::expected<response_head, http_error>> sendAndReadHead(http_request request,
                                                                        time_point deadline);
-    /// \brief Reads the next piece of the body. \returns an empty string at its end.
+    /// \brief Reads the next part of the body. \returns an empty string at the end of the body.
     awaitable<tl::expected<std::string, http_error>> readSome(time_point deadline);
 
-    /// \returns whether another request may go out on this connection: the last response was whole,
-    /// the peer wants to go on, and no byte has come that belongs to no request.
+    /// \returns whether another request may be sent on this connection: the last response is
+    /// complete, the peer keeps the connection alive, and there is no unsolicited data.
     bool isReusable() const;
-    /// \returns for how long the peer keeps the idle connection, if it said so.
+    /// \returns the peer's idle timeout from its Keep-Alive header, if it sent one.
     std::optional<duration> keepAliveTimeout() const;
-    /// \brief Closes the connection at once.
+    /// \brief Closes the connection immediately.
     void close();
 
     struct state;
@@ -53,7 +53,7 @@
     std::shared_ptr<state> m_state;
 };
 
-/// \brief Makes one exchange on a connection of its own.
+/// \brief Performs one exchange on a new connection.
 awaitable<tl::expected<http_response, http_error>> exchangeOnce(endpoint peer, http_request request,
                                                                 time_point deadline);
 
--- a/src/http/http_error.h
+++ b/src/http/http_error.h
@@ -6,7 +6,7 @@
 
 namespace azurehill {
 
-/// \brief How an exchange with an HTTP peer failed.
+/// \brief Why an HTTP exchange failed.
 enum class http_error_kind { ConnectFailed, TimedOut, ConnectionLost, Malformed };
 
 template <>
@@ -20,7 +20,7 @@
 struct http_error
 {
     http_error_kind kind = http_error_kind::ConnectFailed;
-    /// DidNotRun only while no byte of the request had left.
+    /// DidNotRun only if no byte of the request was sent.
     outcome ran = outcome::DidNotRun;
     std::string detail;
 };
--- a/src/http/http_message.h
+++ b/src/http/http_message.h
@@ -9,14 +9,14 @@
 
 namespace azurehill {
 
-/// \brief Header fields in order; names are compared without regard to case.
+/// \brief Header fields in order. Names are case-insensitive.
 class header_list
 {
 public:
     using field = std::pair<std::string, std::string>;
 
     void add(std::string_view name, std::string_view value);
-    /// \returns the first value of \p name, or an empty view.
+    /// \returns the value of the first field \p name, or an empty view if there is none.
     std::string_view get(std::string_view name) const;
     /// \returns whether there is a field \p name.
     bool has(std::string_view name) const;
@@ -28,7 +28,7 @@
     std::vector<field> m_fields;
 };
 
-/// \brief Where a peer listens.
+/// \brief Host and port on which a peer listens.
 struct endpoint
 {
     std::string host;
@@ -37,7 +37,7 @@
     friend auto operator<=>(const endpoint &, const endpoint &) = default;
 };
 
-/// \returns the endpoint written as "host:port", or nothing.
+/// \returns the endpoint parsed from "host:port", or nothing if \p text is malformed.
 std::optional<endpoint> parseEndpoint(std::string_view text);
 /// \returns \p e as "host:port".
 std::string toText(const endpoint &e);
@@ -49,7 +49,7 @@
     header_list headers;
     std::string body;
 
-    /// \returns the target up to the query.
+    /// \returns the target without the query.
     std::string_view path() const;
     /// \returns the value of the query parameter \p name, or nothing.
     std::optional<std::string> query(std::string_view name) const;
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -26,7 +26,8 @@
     asio::any_io_executor executor;
     http_limits limits;
     request_handler handler;
-    /// On a strand, since stopAccepting() closes it from another thread than accepts.
+    /// Runs on a strand, since stopAccepting() may be called from another thread than the accept
+    /// loop's.
     tcp::acceptor acceptor;
     std::atomic<bool> stopping{false};
     std::atomic<bool> announcingClose{false};
@@ -43,10 +44,11 @@
 constexpr std::size_t readSize = 16U << 10U;
 constexpr duration refusalTimeout = seconds(1);
 constexpr duration overloadRetryAfter = seconds(1);
-/// Bodies up to this size are not counted: the header bound covers as much.
+/// Bodies up to this size don't count towards maxTotalBodyBytes: the header limit already admits
+/// memory of this order per connection.
 constexpr std::uint64_t maxUncountedBodyBytes = 64U << 10U;
 
-/// \brief The share of the server's body memory that one request holds.
+/// \brief RAII reservation of body memory for one request, against the server's maxTotalBodyBytes.
 class body_reservation
 {
 public:
@@ -55,8 +57,8 @@
     body_reservation(const body_reservation &) = delete;
     body_reservation &operator=(const body_reservation &) = delete;
 
-    /// \brief Takes room for \p parser's body. A body of unknown length takes the most it may have.
-    /// \returns whether there was room.
+    /// \brief Reserves memory for \p parser's body. A body of unknown length reserves maxBodyBytes.
+    /// \returns whether the server's total stays within its limit.
     bool take(const request_parser &parser)
     {
         const auto length = parser.content_length();
@@ -73,17 +75,19 @@
     std::int64_t m_reservedBytes = 0;
 };
 
-/// \brief How the reading of a request ended.
+/// \brief Result of reading a request. PeerClosed means that the connection was lost, so that no
+/// response can be sent.
 enum class read_result { Complete, PeerClosed, Malformed, RequestTimeout, NoBodyMemory };
 
 problem problemOf(read_result result, beast::error_code code)
 {
     if (result == read_result::RequestTimeout)
-        return {408, "request-timeout", "The request came too slowly", "", outcome::DidNotRun, {}};
+        return {408, "request-timeout",  "The request was not received in time",
+                "",  outcome::DidNotRun, {}};
     if (result == read_result::NoBodyMemory) {
         return {503,
                 "busy",
-                "The daemon holds too many bodies",
+                "The daemon has no memory left for request bodies",
                 "",
                 outcome::DidNotRun,
                 overloadRetryAfter};
@@ -101,8 +105,8 @@
             "",  outcome::DidNotRun,     overloadRetryAfter};
 }
 
-/// \param fieldCount fields of the head. Those of a trailer come after them and are left out: they
-/// would pass for fields that were checked.
+/// \param fieldCount number of fields in the head. The trailer's fields follow them and are
+/// dropped: they would be taken for header fields, which have been validated.
 http_request toRequest(http::request<http::string_body> in, std::size_t fieldCount)
 {
     http_request request;
@@ -117,7 +121,7 @@
     return request;
 }
 
-/// \brief Sends the interim response that a caller with a large body waits for.
+/// \brief Sends the interim response 100 (Continue), for which a client with a large body waits.
 awaitable<void> sendContinue(timed_socket &socket)
 {
     constexpr std::string_view interim = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -126,8 +130,8 @@
                                asio::redirect_error(use_awaitable, ignored));
 }
 
-/// \brief Takes in what \p buffer holds; stops once at the end of the head, so that its fields can
-/// be told from those of a trailer.
+/// \brief Parses and consumes the contents of \p buffer. Stops once at the end of the head, so that
+/// its fields can be counted before those of a trailer are added.
 void parseSome(beast::flat_buffer &buffer, request_parser &parser, beast::error_code &code)
 {
     const bool headWasDone = parser.is_header_done();
@@ -169,7 +173,7 @@
         if (socket.expired())
             co_return read_result::RequestTimeout;
         if (code)
-            co_return read_result::PeerClosed; // the peer is gone: there is nobody to answer
+            co_return read_result::PeerClosed;
     }
 }
 
@@ -188,7 +192,8 @@
         failed = true;
     }
     if (failed && !writer.responseStarted()) {
-        const problem p{500, "internal-error", "The daemon failed", "", outcome::Unknown, {}};
+        const problem p{500, "internal-error", "The daemon failed to handle the request",
+                        "",  outcome::Unknown, {}};
         http_response reply = toResponse(p);
         co_await writer.write(std::move(reply));
     }
@@ -197,7 +202,7 @@
     co_return keepAlive &&writer.finished();
 }
 
-/// \returns whether the connection waits for a next request after this one.
+/// \brief Reads and answers one request. \returns whether the connection is kept alive.
 awaitable<bool> serveRequest(http_server::state &server, timed_socket &socket,
                              beast::flat_buffer &buffer)
 {
@@ -236,7 +241,7 @@
         timed_socket socket(std::move(raw));
         beast::flat_buffer buffer;
         while (co_await serveRequest(*server, socket, buffer)) {
-            // An idle connection keeps no memory from its last request.
+            // Frees the buffer of the last request, so that idle connections hold no memory.
             if (buffer.size() == 0)
                 buffer = beast::flat_buffer();
         }
@@ -246,7 +251,7 @@
     --server->connections;
 }
 
-/// \brief Tells a connection beyond the bound to come back, and closes it.
+/// \brief Answers a connection over the limit with 503 and Retry-After, and closes it.
 awaitable<void> refuseConnection(std::shared_ptr<http_server::state> server, tcp::socket raw)
 {
     {
@@ -271,7 +276,7 @@
         ++server->refusing;
         spawn(executor, "refuseConnection", refuseConnection(server, std::move(socket)));
     }
-    // Otherwise the socket closes here: nothing of a request has been read.
+    // Otherwise the socket is closed here, before any part of a request has been read.
 }
 
 awaitable<void> acceptAll(std::shared_ptr<http_server::state> server)
@@ -283,7 +288,7 @@
         if (code == asio::error::operation_aborted || !server->acceptor.is_open())
             co_return;
         if (code) {
-            // Out of file descriptors, most likely: wait for some to come back.
+            // Most likely out of file descriptors: retry after some may have been closed.
             co_await sleepFor(milliseconds(50));
             continue;
         }
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -12,30 +12,31 @@
 
 namespace azurehill {
 
-/// \brief Bounds on what a peer may send or hold.
+/// \brief Size, connection and time limits of an HTTP server.
 struct http_limits
 {
     std::size_t maxHeaderBytes = 16U << 10U;
     std::size_t maxBodyBytes = 4U << 20U;
-    /// Bodies that all connections together may hold; more is refused with 503.
+    /// Limit on the request bodies of all connections together; requests beyond it get a 503.
     std::int64_t maxTotalBodyBytes = 128LL << 20U;
     int maxConnections = 4096;
-    /// Connections beyond these that are still told 503 before they are closed.
+    /// Connections beyond maxConnections that may be answered with 503 at one time. Any further
+    /// ones are closed without a response.
     int maxConcurrentRefusals = 64;
-    /// Longest time from the first byte of a request to its last.
+    /// Maximum time from the first byte of a request to its last.
     duration requestTimeout = seconds(20);
-    /// Longest time a connection may wait for its next request.
+    /// Maximum time that a connection may be idle before its next request.
     duration idleTimeout = seconds(75);
-    /// Longest time a write may stand still because the peer does not read.
+    /// Maximum time of one write, which blocks while the peer does not read.
     duration writeTimeout = seconds(30);
 };
 
-/// \brief Writes one response, whole or piece by piece.
+/// \brief Writes one response, either complete or chunked.
 class response_writer
 {
 public:
     virtual ~response_writer() = default;
-    /// \brief Writes a whole response. \returns whether the peer still takes bytes.
+    /// \brief Writes a complete response. \returns whether the write succeeded.
     virtual awaitable<bool> write(http_response response) = 0;
     /// \brief Writes the head of a chunked response.
     virtual awaitable<bool> begin(int status, header_list headers) = 0;
@@ -43,7 +44,7 @@
     virtual awaitable<bool> writeChunk(std::string_view bytes) = 0;
     /// \brief Writes the last chunk.
     virtual awaitable<bool> end() = 0;
-    /// \brief Calls \p gone if the peer closes its connection while the answer is under way.
+    /// \brief Calls \p gone if the peer closes its connection while the request is being handled.
     virtual void onPeerDisconnect(const std::function<void()> &gone) { static_cast<void>(gone); }
 };
 
@@ -56,19 +57,19 @@
     http_server(asio::any_io_executor executor, http_limits limits, request_handler handler);
     ~http_server();
 
-    /// \brief Binds \p address and starts to accept. Port 0 takes any free port.
+    /// \brief Binds \p address and starts to accept connections. Port 0 selects any free port.
     /// \returns the port, or 0 when the address can't be bound.
     std::uint16_t listen(const endpoint &address);
-    /// \brief Accepts no more connections; those that are open end after their current request.
+    /// \brief Stops accepting connections. Open ones are closed after their current request.
     void stopAccepting();
-    /// \brief Goes on to accept and to answer, but tells every client to open no further request on
-    /// its connection.
+    /// \brief Sends "Connection: close" with every further response. The server continues to accept
+    /// connections and to answer requests.
     void announceClose();
-    /// \brief Sets new bounds for the requests to come. Call it on the server's executor.
+    /// \brief Sets the limits for subsequent requests. Call it on the server's executor.
     void setLimits(const http_limits &limits);
-    /// \returns the number of requests now being answered.
+    /// \returns the number of requests in progress.
     int requestsInProgress() const;
-    /// \returns the number of connections that are open.
+    /// \returns the number of open connections.
     int openConnections() const;
 
     struct state;
--- a/src/http/problem.cpp
+++ b/src/http/problem.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// \returns \p d in whole seconds, rounded up, since Retry-After has no fractions.
+/// \returns \p d in seconds, rounded up, since Retry-After takes whole seconds only.
 std::int64_t secondsRoundedUp(duration d)
 {
     return (toMilliseconds(d) + 999) / 1000;
--- a/src/http/problem.h
+++ b/src/http/problem.h
@@ -9,22 +9,23 @@
 
 namespace azurehill {
 
-/// \brief An RFC 9457 problem document of ours.
+/// \brief An RFC 9457 problem document with the extension members "outcome" and "retry_after_ms".
 struct problem
 {
     int status = 500;
-    /// Last part of the type URI, such as "budget-exhausted".
+    /// Last component of the type URI, such as "budget-exhausted".
     std::string type;
     std::string title;
     std::string detail;
     outcome ran = outcome::DidNotRun;
-    /// When coming back makes sense.
+    /// Time after which the client should retry.
     std::optional<duration> retryAfter;
 };
 
 /// \returns the JSON text of \p p.
 std::string toJson(const problem &p);
-/// \returns \p p as a response of type application/problem+json, with Retry-After where it has one.
+/// \returns \p p as a response of type application/problem+json, with a Retry-After header if
+/// retryAfter is set.
 http_response toResponse(const problem &p);
 
 } // namespace azurehill
--- a/src/http/server_writer.h
+++ b/src/http/server_writer.h
@@ -5,7 +5,7 @@
 
 namespace azurehill {
 
-/// \brief Writes one response of a server to its connection.
+/// \brief The response_writer of http_server, which writes to a timed_socket.
 class server_writer : public response_writer
 {
 public:
@@ -23,9 +23,9 @@
         m_socket.watchForDisconnect(gone);
     }
 
-    /// \returns whether any part of a response went out.
+    /// \returns whether a response has been started.
     bool responseStarted() const { return m_responseStarted; }
-    /// \returns whether a whole response went out, so that the connection can go on.
+    /// \returns whether a complete response was written, so that the connection can be reused.
     bool finished() const { return m_finished; }
 
 private:
--- a/src/http/sse.cpp
+++ b/src/http/sse.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// \returns the value of \p line if it is a line of \p field.
+/// \returns the value in \p line if its field name is \p field.
 std::optional<std::string_view> fieldValue(std::string_view line, std::string_view field)
 {
     if (!line.starts_with(field) || line.size() == field.size() || line[field.size()] != ':')
--- a/src/http/sse.h
+++ b/src/http/sse.h
@@ -10,35 +10,37 @@
 /// \brief One event of a server-sent event stream.
 struct sse_event
 {
-    /// The event's bytes with the blank line that ends it.
+    /// The event's bytes, including the blank line that ends it.
     std::string raw;
-    /// Empty if the event has none.
+    /// Empty if the event has no id.
     std::string id;
     std::optional<std::string> data;
 };
 
-/// \brief Cuts a server-sent event stream into its events. Lines may end in LF or CRLF.
+/// \brief Incremental parser of a server-sent event stream. Lines may end in LF or CRLF.
 class sse_reader
 {
 public:
-    /// Longest event that is waited for.
+    /// Size beyond which isTooLong() reports an unfinished event.
     static constexpr std::size_t maxEventBytes = 1U << 20U;
 
     void feed(std::string_view bytes);
-    /// \returns the next whole event, or nothing yet. A blank line alone is an event without data.
+    /// \returns the next complete event, or nothing if more bytes are needed. A blank line alone is
+    /// an event without data.
     std::optional<sse_event> nextEvent();
-    /// \returns the data of the next whole event that has any, or nothing yet.
+    /// \returns the data of the next complete event that has any, or nothing if more bytes are
+    /// needed.
     std::optional<std::string> next();
     /// \returns the bytes of the unfinished event.
     std::string_view unfinished() const { return std::string_view(m_buffer).substr(m_start); }
-    /// \returns whether an unfinished event has grown past maxEventBytes.
+    /// \returns whether the unfinished event is larger than maxEventBytes.
     bool isTooLong() const { return unfinished().size() > maxEventBytes; }
 
 private:
     void parseLine(std::string_view line);
 
     std::string m_buffer;
-    /// Start of the unfinished event, and of its line that comes next.
+    /// Positions in m_buffer: start of the unfinished event, and of its next line to parse.
     std::size_t m_start = 0;
     std::size_t m_lineStart = 0;
     sse_event m_event;
--- a/src/http/timed_socket.cpp
+++ b/src/http/timed_socket.cpp
@@ -13,7 +13,7 @@
 constexpr duration lingerTimeout = seconds(1);
 constexpr std::size_t lingerBytes = 256U << 10U;
 
-/// \returns whether nothing more will come from the peer of \p socket, which is readable.
+/// \returns whether the peer of \p socket has closed its side. The socket must be readable.
 bool hasPeerClosed(tcp::socket &socket)
 {
     boost::system::error_code code;
--- a/src/http/timed_socket.h
+++ b/src/http/timed_socket.h
@@ -7,7 +7,7 @@
 
 namespace azurehill {
 
-/// \brief A server's socket whose operations end when their time is over. Used on its own strand.
+/// \brief Server-side TCP socket with read and write timeouts. Used on its own strand.
 class timed_socket
 {
 public:
@@ -16,24 +16,28 @@
     timed_socket(const timed_socket &) = delete;
     timed_socket &operator=(const timed_socket &) = delete;
 
-    /// \brief Cancels the read in progress unless finish() comes within \p limit: a peer that sends
-    /// slowly would otherwise hold its memory for ever. The reader looks at expired() after every
-    /// read, since a read that has just completed can't be cancelled any more.
+    /// \brief Cancels the read in progress unless stopTimeout() is called within \p limit. Without
+    /// it a peer that sends slowly would hold its memory indefinitely. The reader must check
+    /// expired() after every read, since a read that has just completed can't be cancelled any
+    /// more.
     void startReadTimeout(duration limit);
-    /// \brief Closes the socket unless finish() comes within \p limit. Closing, unlike cancelling,
-    /// also ends the later steps of a write that is between two of them.
+    /// \brief Closes the socket unless stopTimeout() is called within \p limit. A composed write
+    /// may be between two of its operations, with nothing to cancel: closing makes the next one
+    /// fail too.
     void startWriteTimeout(duration limit);
     void stopTimeout() { m_guard.finish(); }
     bool expired() const { return m_guard.expired(); }
 
-    /// \brief Calls \p onDisconnect when the peer closes its side before
-    /// stopWatchingForDisconnect(). A peer that has already sent its next request is not watched.
+    /// \brief Calls \p onDisconnect if the peer closes its side before stopWatchingForDisconnect().
+    /// A close is not detected if the peer has already sent its next request.
     void watchForDisconnect(std::function<void()> onDisconnect);
-    /// \brief Ends the watch. No other operation may be in progress.
+    /// \brief Stops the detection. It cancels all operations on the socket, so that no other one
+    /// may be in progress.
     void stopWatchingForDisconnect();
 
-    /// \brief Ends the connection so that the last response reaches the peer: closing a socket with
-    /// unread bytes would reset it, and the peer would lose what it has not read yet.
+    /// \brief Shuts down sending, then reads and discards input for a bounded time, so that the
+    /// last response reaches the peer: closing a socket with unread bytes would reset the
+    /// connection, and the peer would lose what it has not read yet.
     awaitable<void> linger();
 
     asio::ip::tcp::socket socket;
--- a/test/io/http_server_test.cpp
+++ b/test/io/http_server_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// \brief A server that answers each request with its body.
+/// \brief A server that echoes the body of each request.
 class echo_server
 {
 public:
@@ -31,7 +31,7 @@
         return answer;
     }
 
-    /// \brief Waits until no connection is left.
+    /// \brief Waits until all connections are closed.
     void waitUntilAllClosed()
     {
         auto body = [&]() -> awaitable<void> {
@@ -67,9 +67,9 @@
 
 } // namespace
 
-// A caller, or somebody who means harm, sends bytes that are not a request. Each gets a problem
-// document and the end of its connection, and what comes after the fault is never taken for a
-// second request: two readings of one length would let one caller's bytes pose as another's.
+// A faulty or malicious client sends bytes that are not a valid request. It must get a problem
+// document and the connection must be closed. Bytes after the fault must not be parsed as a second
+// request: an ambiguous length would allow request smuggling.
 TEST_CASE("Malformed requests get a 4xx and the end of the connection")
 {
     echo_server echo(smallLimits());
@@ -170,9 +170,9 @@
     CHECK(answer.find(R"("outcome":"unknown")") != std::string::npos);
 }
 
-// Somebody opens connections and sends a byte now and then (slowloris). Each connection would hold
-// its memory for ever, and in the end no place is left for callers. A byte that comes at the very
-// moment of the time-out must not give the sender the rest of eternity.
+// Slowloris: a client opens connections and sends a byte now and then. Without a timeout each
+// connection would hold its memory indefinitely until none are left for other clients. A byte that
+// arrives just as the timeout expires must not disable the timeout.
 TEST_CASE("Slow senders are cut off")
 {
     const paused_clock clock;
@@ -229,8 +229,8 @@
     echo.waitUntilAllClosed();
 }
 
-// More callers come than the daemon has places for. Those beyond the bound are told when to come
-// back, so that they ask another entry host; those that have a place keep it.
+// More clients connect than maxConnections. Those beyond the limit get a 503 with Retry-After, so
+// that they try another entry host; established connections are unaffected.
 TEST_CASE("Connections beyond the bound are told to come back")
 {
     http_limits limits = smallLimits();
@@ -255,8 +255,8 @@
     runIn(echo.context, body());
 }
 
-// Many callers announce large bodies at once and send nothing. Together they may hold no more than
-// the daemon can give.
+// Many clients announce large bodies at once and send nothing. The memory reserved for them
+// together must stay within maxTotalBodyBytes.
 TEST_CASE("Bodies of all callers together are bounded")
 {
     http_limits limits = smallLimits();
@@ -272,7 +272,7 @@
                                                          head + "Content-Length: 1000000\r\n\r\n");
         CHECK(isProblem(refused, "503"));
         first.close();
-        // Once the first one has gone its room is free again.
+        // The first client's reservation is released once it has disconnected.
         std::string served;
         while (!served.starts_with("HTTP/1.1 200 ")) {
             served
