--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -13,7 +13,7 @@
 {
 public:
     heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
-               detector_settings settings);
+               failure_detector_settings settings);
 
     /// \brief Starts to send.
     void start();
