--- a/src/daemon/pass_through.cpp
+++ b/src/daemon/pass_through.cpp
@@ -70,8 +70,8 @@
         = co_await connection->connect(place.address, runtime_clock::now() + connectLimit);
     if (!connected)
         co_return connected.error();
-    auto head = co_await connection->open(std::move(request),
-                                          runtime_clock::now() + place.limits.callTimeout);
+    auto head = co_await connection->sendAndReadHead(
+        std::move(request), runtime_clock::now() + place.limits.callTimeout);
     if (!head)
         co_return head.error();
     co_await relayResponse(*connection, std::move(*head), writer, place.limits.streamIdleTimeout);
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -60,7 +60,7 @@
     limits.maxConnections = static_cast<int>(in.number("max-connections", 1, 1'000'000));
     limits.requestTimeout = in.time("request-time-ms", 1, longestTimeMs);
     limits.idleTimeout = in.time("idle-time-ms", 1, longestTimeMs);
-    limits.writeTime = in.time("write-time-ms", 1, longestTimeMs);
+    limits.writeTimeout = in.time("write-time-ms", 1, longestTimeMs);
 }
 
 } // namespace
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -18,7 +18,7 @@
 
 constexpr std::size_t maxResponseBody = 64U << 20U;
 constexpr std::size_t maxResponseHeader = 64U << 10U;
-constexpr std::size_t pieceSize = 16U << 10U;
+constexpr std::size_t readBufferSize = 16U << 10U;
 
 http_error makeError(beast::error_code code, bool timedOut, outcome ran)
 {
@@ -32,7 +32,7 @@
 
 http_error responseTooLarge()
 {
-    return {http_error_kind::Malformed, outcome::Ran, "the response is too long"};
+    return {http_error_kind::Malformed, outcome::Ran, "response body exceeds 64 MiB"};
 }
 
 } // namespace
@@ -46,18 +46,19 @@
     beast::flat_buffer buffer;
     std::optional<beast::http::response_parser<beast::http::buffer_body>> parser;
     std::string host;
-    /// The request that is on its way out.
+    /// The request being written.
     beast::http::request<beast::http::string_body> out;
     beast::error_code writeError;
     std::size_t sent = 0;
     bool writing = false;
     std::optional<duration> keepAlive;
-    /// Where the next piece of a body is read to. It is not cleared for every token of a stream.
-    std::array<char, pieceSize> piece;
+    /// Buffer for the next part of a body. It is a member so that it isn't zeroed for each read: a
+    /// streamed body takes a read per token.
+    std::array<char, readBufferSize> readBuffer;
     bool reusable = false;
 
-    /// Closes the socket at \p until, which ends the operation in progress.
-    void watch(time_point until)
+    /// Closes the socket at \p until, which aborts the operation in progress.
+    void closeAt(time_point until)
     {
         guard.start(until, [this] {
             beast::error_code ignored;
@@ -69,7 +70,7 @@
 
 namespace {
 
-/// \returns the "timeout" of a Keep-Alive header.
+/// \returns the "timeout" parameter of the Keep-Alive header, if present.
 std::optional<duration> parseKeepAliveTimeout(const header_list &headers)
 {
     const std::string_view value = headers.get("Keep-Alive");
@@ -117,7 +118,8 @@
 {
     if (!m_state->reusable || m_state->writing || !m_state->socket.is_open())
         return false;
-    // A second answer to an earlier request would be taken for the answer to the next one.
+    // Unread bytes, such as a second response to the last request, would be parsed as the response
+    // to the next one.
     if (m_state->buffer.size() > 0)
         return false;
     beast::error_code code;
@@ -148,7 +150,7 @@
         co_return tl::unexpected(http_error{http_error_kind::ConnectFailed, outcome::DidNotRun,
                                             "not an IP address: " + peer.host});
     }
-    m_state->watch(deadline);
+    m_state->closeAt(deadline);
     co_await m_state->socket.async_connect(tcp::endpoint(address, peer.port),
                                            asio::redirect_error(use_awaitable, code));
     m_state->guard.finish();
@@ -163,21 +165,22 @@
     co_return tl::expected<void, http_error>();
 }
 
-awaitable<tl::expected<response_head, http_error>> http_connection::open(http_request request,
-                                                                         time_point deadline)
+awaitable<tl::expected<response_head, http_error>>
+http_connection::sendAndReadHead(http_request request, time_point deadline)
 {
     namespace http = beast::http;
     const auto s = m_state;
     beast::error_code code;
     s->reusable = false;
-    s->watch(deadline);
+    s->closeAt(deadline);
     startWrite(s, std::move(request));
     auto &parser = s->parser.emplace();
-    // Bodies that are streamed have no bound: finished books are large.
+    // Streamed bodies are unbounded, since finished books are large. exchange() has its own limit.
     parser.body_limit(boost::none);
     parser.skip(s->out.method() == http::verb::head);
     parser.header_limit(maxResponseHeader);
-    // The peer may answer before it has read a long request: the write goes on beside the read.
+    // The peer may respond before it has read a long request, so the write runs concurrently with
+    // the read.
     co_await http::async_read_header(s->socket, s->buffer, parser,
                                      asio::redirect_error(use_awaitable, code));
     s->guard.finish();
@@ -199,16 +202,16 @@
     namespace http = beast::http;
     auto &parser = *m_state->parser;
     std::size_t length = 0;
-    m_state->watch(deadline);
+    m_state->closeAt(deadline);
     beast::error_code code;
     while (length == 0 && !parser.is_done()) {
-        parser.get().body().data = m_state->piece.data();
-        parser.get().body().size = pieceSize;
+        parser.get().body().data = m_state->readBuffer.data();
+        parser.get().body().size = readBufferSize;
         co_await http::async_read_some(m_state->socket, m_state->buffer, parser,
                                        asio::redirect_error(use_awaitable, code));
         if (code == http::error::need_buffer)
             code = {};
-        length = pieceSize - parser.get().body().size;
+        length = readBufferSize - parser.get().body().size;
         if (code || m_state->expired())
             break;
     }
@@ -217,13 +220,13 @@
         co_return tl::unexpected(makeError(code, m_state->expired(), outcome::Unknown));
     if (parser.is_done())
         m_state->reusable = parser.get().keep_alive() && !parser.get().need_eof();
-    co_return std::string(m_state->piece.data(), length);
+    co_return std::string(m_state->readBuffer.data(), length);
 }
 
 awaitable<tl::expected<http_response, http_error>> http_connection::exchange(http_request request,
                                                                              time_point deadline)
 {
-    auto head = co_await open(std::move(request), deadline);
+    auto head = co_await sendAndReadHead(std::move(request), deadline);
     if (!head)
         co_return tl::unexpected(head.error());
     http_response response{head->status, std::move(head->headers), {}};
--- a/src/http/server_writer.h
+++ b/src/http/server_writer.h
@@ -5,13 +5,13 @@
 
 namespace azurehill {
 
-/// \brief Writes one response of a server to its connection.
+/// \brief The response_writer of http_server, which writes to a timed_socket.
 class server_writer : public response_writer
 {
 public:
     /// \param headOnly whether the request was a HEAD, whose response has no body.
     server_writer(timed_socket &socket, bool keepAlive, bool headOnly, duration writeTime)
-        : m_socket(socket), m_keepAlive(keepAlive), m_headOnly(headOnly), m_writeTime(writeTime)
+        : m_socket(socket), m_keepAlive(keepAlive), m_headOnly(headOnly), m_writeTimeout(writeTime)
     { }
 
     awaitable<bool> write(http_response response) override;
@@ -23,16 +23,16 @@
         m_socket.watchForDisconnect(gone);
     }
 
-    /// \returns whether any part of a response went out.
-    bool begun() const { return m_responseStarted; }
-    /// \returns whether a whole response went out, so that the connection can go on.
+    /// \returns whether a response has been started.
+    bool responseStarted() const { return m_responseStarted; }
+    /// \returns whether a complete response was written, so that the connection can be reused.
     bool finished() const { return m_finished; }
 
 private:
     timed_socket &m_socket;
     bool m_keepAlive;
     bool m_headOnly;
-    duration m_writeTime;
+    duration m_writeTimeout;
     bool m_responseStarted = false;
     bool m_finished = false;
 };
--- a/src/http/timed_socket.cpp
+++ b/src/http/timed_socket.cpp
@@ -13,7 +13,7 @@
 constexpr duration lingerTimeout = seconds(1);
 constexpr std::size_t lingerBytes = 256U << 10U;
 
-/// \returns whether nothing more will come from the peer of \p socket, which is readable.
+/// \returns whether the peer of \p socket has closed its side. The socket must be readable.
 bool hasPeerClosed(tcp::socket &socket)
 {
     boost::system::error_code code;
@@ -41,7 +41,7 @@
     });
 }
 
-void timed_socket::startWrite(duration limit)
+void timed_socket::startWriteTimeout(duration limit)
 {
     m_guard.start(runtime_clock::now() + limit, [this] {
         boost::system::error_code ignored;
@@ -82,7 +82,7 @@
         total += co_await socket.async_read_some(asio::buffer(discarded),
                                                  asio::redirect_error(use_awaitable, code));
     }
-    finish();
+    stopTimeout();
 }
 
 } // namespace azurehill
