--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -32,7 +32,7 @@
 
 http_error responseTooLarge()
 {
-    return {http_error_kind::Malformed, outcome::Ran, "response body exceeds 64 MiB"};
+    return {http_error_kind::Malformed, outcome::Ran, "the response is too long"};
 }
 
 } // namespace
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -82,12 +82,11 @@
 problem problemOf(read_result result, beast::error_code code)
 {
     if (result == read_result::RequestTimeout)
-        return {408, "request-timeout",  "The request was not received in time",
-                "",  outcome::DidNotRun, {}};
+        return {408, "request-timeout", "The request came too slowly", "", outcome::DidNotRun, {}};
     if (result == read_result::NoBodyMemory) {
         return {503,
                 "busy",
-                "The daemon has no memory left for request bodies",
+                "The daemon holds too many bodies",
                 "",
                 outcome::DidNotRun,
                 overloadRetryAfter};
@@ -192,8 +191,7 @@
         failed = true;
     }
     if (failed && !writer.responseStarted()) {
-        const problem p{500, "internal-error", "The daemon failed to handle the request",
-                        "",  outcome::Unknown, {}};
+        const problem p{500, "internal-error", "The daemon failed", "", outcome::Unknown, {}};
         http_response reply = toResponse(p);
         co_await writer.write(std::move(reply));
     }
