--- a/src/inner/heartbeats.cpp
+++ b/src/inner/heartbeats.cpp
@@ -9,7 +9,7 @@
 
 constexpr duration sendPeriod = milliseconds(50);
 /// How long an answer may take before its connection counts as silent.
-constexpr duration answerLimit = milliseconds(700);
+constexpr duration responseTimeout = milliseconds(700);
 
 } // namespace
 
@@ -39,13 +39,13 @@
             if (!l)
                 l = std::make_shared<peer_link>(m_context.get_executor());
             if (!l->busy)
-                spawn(m_context.get_executor(), "heartbeat", beat(to, l));
+                spawn(m_context.get_executor(), "heartbeat", sendHeartbeat(to, l));
         }
         co_await sleepFor(sendPeriod);
     }
 }
 
-awaitable<void> heartbeats::beat(member to, std::shared_ptr<peer_link> link)
+awaitable<void> heartbeats::sendHeartbeat(member to, std::shared_ptr<peer_link> link)
 {
     link->busy = true;
     const bool pooled = link->connection.isReusable();
@@ -56,10 +56,10 @@
         logEvent(log_level::Warning, "connection_replaced", {{"daemon", to.daemon.value}});
     // An open connection can be dead without a word while new ones work: only a new one tells
     // whether the daemon is.
-    bool isNew = false;
+    bool isReconnected = false;
     if (!answered)
-        isNew = co_await connect(to, link);
-    if (isNew)
+        isReconnected = co_await connect(to, link);
+    if (isReconnected)
         co_await exchange(link);
     link->busy = false;
 }
@@ -68,7 +68,7 @@
 {
     link->connection = http_connection(m_context.get_executor());
     const endpoint peer = parseEndpoint(to.innerAddress).value_or(endpoint{});
-    const time_point deadline = runtime_clock::now() + answerLimit;
+    const time_point deadline = runtime_clock::now() + responseTimeout;
     const auto connected = co_await link->connection.connect(peer, deadline);
     if (connected)
         co_return true;
@@ -81,14 +81,14 @@
 awaitable<bool> heartbeats::exchange(std::shared_ptr<peer_link> link)
 {
     http_request request = makeRequest();
-    const time_point deadline = runtime_clock::now() + answerLimit;
+    const time_point deadline = runtime_clock::now() + responseTimeout;
     const auto response = co_await link->connection.exchange(std::move(request), deadline);
     if (!response || response->status != 200) {
         link->connection.close();
         co_return false;
     }
     if (const auto beat = decodeResponse(response->body))
-        take(*beat);
+        applyHeartbeat(*beat);
     co_return true;
 }
 
@@ -100,17 +100,17 @@
     request.headers.add("Azurehill-Inner-Token", m_innerToken);
     request.headers.add("Content-Type", "application/json");
     request.body
-        = encodeRequest({m_self, m_detector.evidence(runtime_clock::now())}, ++m_lastRequest);
+        = encodeRequest({m_self, m_detector.evidence(runtime_clock::now())}, ++m_lastRequestId);
     return request;
 }
 
 heartbeat heartbeats::onHeartbeat(const heartbeat &beat)
 {
-    take(beat);
+    applyHeartbeat(beat);
     return {m_self, m_detector.evidence(runtime_clock::now())};
 }
 
-void heartbeats::take(const heartbeat &beat)
+void heartbeats::applyHeartbeat(const heartbeat &beat)
 {
     const time_point now = runtime_clock::now();
     m_detector.onSign(beat.from, now);
--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -34,12 +34,12 @@
     };
 
     awaitable<void> loop();
-    awaitable<void> beat(member to, std::shared_ptr<peer_link> link);
+    awaitable<void> sendHeartbeat(member to, std::shared_ptr<peer_link> link);
     awaitable<bool> exchange(std::shared_ptr<peer_link> link);
     awaitable<bool> connect(member to, std::shared_ptr<peer_link> link);
     http_request makeRequest();
     heartbeat onHeartbeat(const heartbeat &beat);
-    void take(const heartbeat &beat);
+    void applyHeartbeat(const heartbeat &beat);
 
     asio::io_context &m_context;
     daemon_run m_self;
@@ -47,7 +47,7 @@
     failure_detector m_detector;
     inner_server m_server;
     std::map<daemon_id, std::shared_ptr<peer_link>> m_links;
-    std::uint64_t m_lastRequest = 0;
+    std::uint64_t m_lastRequestId = 0;
 };
 
 } // namespace azurehill
--- a/test/io/inner_test.cpp
+++ b/test/io/inner_test.cpp
@@ -11,7 +11,7 @@
 const daemon_run runA{{"a"}, "1"};
 const daemon_run runB{{"b"}, "1"};
 
-std::string answerOfB(const std::string &request)
+std::string responseOfB(const std::string &request)
 {
     inner_server b([](const heartbeat &beat) { return heartbeat{runB, beat.evidence}; });
     return b.answer(request);
@@ -68,7 +68,7 @@
     {
         if (std::exchange(stallNext, false))
             co_await never.waitPast(never.version());
-        http_response response = jsonResponse(200, answerOfB(request.body));
+        http_response response = jsonResponse(200, responseOfB(request.body));
         co_await writer.write(std::move(response));
         ++answers;
     }
@@ -81,7 +81,7 @@
     const failure_evidence seen{{{"c"}, "2"}, {"a"}, failure_sign::Refused, milliseconds(40)};
     SUBCASE("the answer carries what the handler gives")
     {
-        const auto answer = decodeResponse(answerOfB(encodeRequest({runA, {seen}}, 7)));
+        const auto answer = decodeResponse(responseOfB(encodeRequest({runA, {seen}}, 7)));
         REQUIRE(answer);
         CHECK(answer->from == runB);
         REQUIRE(answer->evidence.size() == 1);
@@ -95,7 +95,7 @@
                                  R"({"jsonrpc":"2.0","id":1,"method":"heartbeat","params":{}})",
                                  R"({"jsonrpc":"2.0","id":1,"method":"heartbeat","params":)"
                                  R"({"daemon":"a","incarnation":"1","evidence":[3]}})"})
-            CHECK_FALSE(decodeResponse(answerOfB(text)));
+            CHECK_FALSE(decodeResponse(responseOfB(text)));
     }
 }
 
