--- a/src/inner/heartbeat.h
+++ b/src/inner/heartbeat.h
@@ -8,7 +8,8 @@
 
 namespace azurehill {
 
-/// \brief What two daemons tell each other; the answer to a heartbeat is one too.
+/// \brief Heartbeat message of a daemon, with its failure evidence. The response is a heartbeat
+/// too.
 struct heartbeat
 {
     daemon_run from;
@@ -17,10 +18,10 @@
 
 /// \returns the JSON-RPC request that carries \p beat.
 ///
-/// The request is built here and not by the library's client: that one is synchronous, and its
-/// headers compile up to C++14 only.
+/// The client of libjsonrpccpp is not used, since it is synchronous and its headers compile only up
+/// to C++14.
 std::string encodeRequest(const heartbeat &beat, std::uint64_t id);
-/// \returns the heartbeat in a JSON-RPC response, or nothing when there is none.
+/// \returns the heartbeat in a JSON-RPC response, or nothing if \p text contains none.
 std::optional<heartbeat> decodeResponse(std::string_view text);
 
 } // namespace azurehill
--- a/src/inner/heartbeat_json.h
+++ b/src/inner/heartbeat_json.h
@@ -7,7 +7,7 @@
 namespace azurehill::internal {
 
 Json::Value toJson(const heartbeat &beat);
-/// \returns the heartbeat in \p value. Throws Json::Exception when it is something else.
+/// \returns the heartbeat in \p value. Throws Json::Exception if a value has the wrong type.
 heartbeat toHeartbeat(const Json::Value &value);
 
 } // namespace azurehill::internal
--- a/src/inner/heartbeats.cpp
+++ b/src/inner/heartbeats.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr duration sendPeriod = milliseconds(50);
-/// How long an answer may take before its connection counts as silent.
+/// Time after which an unanswered heartbeat counts as lost and its connection is closed.
 constexpr duration responseTimeout = milliseconds(700);
 
 } // namespace
@@ -54,8 +54,8 @@
         answered = co_await exchange(link);
     if (pooled && !answered)
         logEvent(log_level::Warning, "connection_replaced", {{"daemon", to.daemon.value}});
-    // An open connection can be dead without a word while new ones work: only a new one tells
-    // whether the daemon is.
+    // An established connection can be lost without a FIN or RST while new ones work, so only a new
+    // connection shows whether the daemon is alive.
     bool isReconnected = false;
     if (!answered)
         isReconnected = co_await connect(to, link);
--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -8,14 +8,15 @@
 
 namespace azurehill {
 
-/// \brief Sends this daemon's heartbeats and answers those of others. Used on the control thread.
+/// \brief Sends heartbeats to the other daemons and answers theirs, for the failure detector. Used
+/// on the control thread.
 class heartbeats
 {
 public:
     heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
                detector_settings settings);
 
-    /// \brief Starts to send.
+    /// \brief Starts the send loop.
     void start();
     void onView(const cell_view &view);
     /// \returns the response to the JSON-RPC \p request of another daemon.
@@ -24,7 +25,7 @@
     std::set<daemon_run> refusing() const { return m_detector.refusing(runtime_clock::now()); }
 
 private:
-    /// The long-lived connection to one daemon.
+    /// The persistent connection to one daemon. busy while a heartbeat is being exchanged.
     struct peer_link
     {
         explicit peer_link(const asio::any_io_executor &executor) : connection(executor) { }
--- a/src/inner/inner_server.cpp
+++ b/src/inner/inner_server.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// \brief Stands where the library would have its own sockets.
+/// \brief Server connector without sockets: passes requests to the library as strings.
 class message_connector : public jsonrpc::AbstractServerConnector
 {
 public:
--- a/src/inner/inner_server.h
+++ b/src/inner/inner_server.h
@@ -7,16 +7,16 @@
 
 namespace azurehill {
 
-/// \brief Answers JSON-RPC requests of other daemons. libjsonrpccpp checks and dispatches them;
-/// the bytes come and go over the inner HTTP listener.
+/// \brief JSON-RPC server for requests of other daemons. libjsonrpccpp validates and dispatches
+/// them; the inner HTTP listener is the transport.
 class inner_server
 {
 public:
-    /// \param onHeartbeat takes in a heartbeat and gives the answer.
+    /// \param onHeartbeat handles a received heartbeat and returns the response.
     explicit inner_server(std::function<heartbeat(const heartbeat &)> onHeartbeat);
     ~inner_server();
 
-    /// \returns the response to \p request, an error response when it is no valid request.
+    /// \returns the response to \p request, or an error response if the request is invalid.
     std::string answer(const std::string &request);
 
 private:
--- a/test/io/inner_test.cpp
+++ b/test/io/inner_test.cpp
@@ -17,7 +17,7 @@
     return b.answer(request);
 }
 
-/// \brief Daemon "a" sends heartbeats to the listener of "b" while the test moves the clock.
+/// \brief Daemon "a" sends heartbeats to the listener of "b"; the test advances the clock.
 class two_daemons
 {
 public:
@@ -38,7 +38,7 @@
 
     void runUntil(const std::function<bool()> &condition)
     {
-        // The sockets take the machine's time: the paused clock must not run far ahead of them.
+        // Socket I/O takes real time: the paused clock must not advance much faster.
         while (!condition()) {
             runtime_clock::advance(milliseconds(4));
             context.restart();
@@ -101,8 +101,9 @@
 
 TEST_CASE("A connection that went silent is replaced")
 {
-    // Callers are sent away from a healthy daemon: the open connection to it died without a word,
-    // as when something between the two lost track of it, while new connections work.
+    // A healthy daemon would be suspected and callers redirected away from it. The established
+    // connection to it is lost without a FIN or RST, as when a middlebox drops its connection
+    // state, while new connections work.
     two_daemons cell;
     cell.watch();
     cell.runUntil([&] { return cell.answers >= 2; });
