--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -8,14 +8,15 @@
 
 namespace azurehill {
 
-/// \brief Sends this daemon's heartbeats and answers those of others. Used on the control thread.
+/// \brief Sends heartbeats to the other daemons and answers theirs, for the failure detector. Used
+/// on the control thread.
 class heartbeats
 {
 public:
     heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
                failure_detector_settings settings);
 
-    /// \brief Starts to send.
+    /// \brief Starts the send loop.
     void start();
     void onView(const cell_view &view);
     /// \returns the response to the JSON-RPC \p request of another daemon.
@@ -27,7 +28,7 @@
     }
 
 private:
-    /// The long-lived connection to one daemon.
+    /// The persistent connection to one daemon. busy while a heartbeat is being exchanged.
     struct peer_link
     {
         explicit peer_link(const asio::any_io_executor &executor) : connection(executor) { }
@@ -37,12 +38,12 @@
     };
 
     awaitable<void> loop();
-    awaitable<void> beat(member to, std::shared_ptr<peer_link> link);
+    awaitable<void> sendHeartbeat(member to, std::shared_ptr<peer_link> link);
     awaitable<bool> exchange(std::shared_ptr<peer_link> link);
     awaitable<bool> connect(member to, std::shared_ptr<peer_link> link);
     http_request makeRequest();
     heartbeat onHeartbeat(const heartbeat &beat);
-    void take(const heartbeat &beat);
+    void applyHeartbeat(const heartbeat &beat);
 
     asio::io_context &m_context;
     daemon_run m_self;
@@ -50,7 +51,7 @@
     failure_detector m_detector;
     inner_server m_server;
     std::map<daemon_id, std::shared_ptr<peer_link>> m_links;
-    std::uint64_t m_lastRequest = 0;
+    std::uint64_t m_lastRequestId = 0;
 };
 
 } // namespace azurehill
