--- a/scripts/old-beside-new.py
+++ b/scripts/old-beside-new.py
@@ -19,12 +19,12 @@
 import http.client, http.server, tomllib, urllib.parse
 
 REPOSITORY = pathlib.Path(__file__).resolve().parent.parent
-PATIENCE = 20
-LOOK_PAUSE = 0.02
-BORN = 1_700_000_000_000
+WAIT_LIMIT_S = 20
+POLL_INTERVAL_S = 0.02
+FIRST_START_MS = 1_700_000_000_000
 QUOTA_ACCOUNTS = [f"q{i:02}" for i in range(16)]
 QUOTA_CREDITS = 6  # in a window of 5 s: 0.2 a second and 5 at once, as the settings allow nothing on top
-MOST_STORIES = 12  # of programs, and of requests, for each log
+MAX_TIMELINES = 12  # of programs, and of requests, for each log
 VERDICTS = collections.Counter()
 
 
@@ -52,10 +52,10 @@
 
 def wait_for(what, condition):
     """Waits until the condition holds; "what" is a text, or makes one at the end."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + WAIT_LIMIT_S
     while not condition():
-        check(time.monotonic() < end, f"not within {PATIENCE} s: {what() if callable(what) else what}")
-        time.sleep(LOOK_PAUSE)
+        check(time.monotonic() < end, f"not within {WAIT_LIMIT_S} s: {what() if callable(what) else what}")
+        time.sleep(POLL_INTERVAL_S)
 
 
 def tell(verdict, text):
@@ -107,13 +107,13 @@
 def listen(answer):
     server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
     server.answer = answer
-    threading.Thread(target=server.serve_forever, args=(LOOK_PAUSE,), daemon=True).start()
+    threading.Thread(target=server.serve_forever, args=(POLL_INTERVAL_S,), daemon=True).start()
     return server
 
 
 def call(ip, port, method, path, body=None, headers=None):
     """Returns status and body; the status is 0 if no whole answer came."""
-    connection = http.client.HTTPConnection(ip, port, timeout=PATIENCE)
+    connection = http.client.HTTPConnection(ip, port, timeout=WAIT_LIMIT_S)
     try:
         connection.request(method, path, body, headers or {})
         answer = connection.getresponse()
@@ -206,14 +206,14 @@
         self.may_answer = threading.Event()
         self.may_answer.set()
 
-    def row(self, state="ready", born=BORN, sequence=1):
+    def row(self, state="ready", born=FIRST_START_MS, sequence=1):
         return {"service": self.service, "address": f"127.0.0.1:{self.server.server_port}", "zone": "z",
                 "slots": 4, "state": state, "seq_no": sequence, "born": born}
 
     def answer(self, request):
         ident = request.headers["X-Azurehill-Request-Id"]
         self.arrived[ident] = request.body.decode()
-        self.may_answer.wait(PATIENCE)
+        self.may_answer.wait(WAIT_LIMIT_S)
         own = {"X-Azurehill-Request-Id": ident, "X-Azurehill-Server-Stamp": "s"}
         if self.service == "tools":
             request.reply({**own, "Content-Length": 5}, b"whole")
@@ -364,11 +364,11 @@
             for one, other in ((x, y), (y, x)):
                 yield claim.format(one.name, other.name), lambda: action(one, other)
         for what, row, is_served, event, born in (
-                ("the entries of replicas", self.tool.row(), True, "replica_listed", BORN),
-                ("that a replica drains", self.tool.row("draining", BORN, 2), False, "replica_draining", None),
-                ("that it started again", self.tool.row(born=BORN + 1), True, "replica_restarted", BORN + 1),
+                ("the entries of replicas", self.tool.row(), True, "replica_listed", FIRST_START_MS),
+                ("that a replica drains", self.tool.row("draining", FIRST_START_MS, 2), False, "replica_draining", None),
+                ("that it started again", self.tool.row(born=FIRST_START_MS + 1), True, "replica_restarted", FIRST_START_MS + 1),
                 ("that it is gone", None, False, "replica_gone", None),
-                ("that it is back", self.tool.row(born=BORN + 2), True, "replica_listed", BORN + 2)):
+                ("that it is back", self.tool.row(born=FIRST_START_MS + 2), True, "replica_listed", FIRST_START_MS + 2)):
             yield f"both take in {what}", lambda: self.change(row, is_served, event, born)
         yield f"{first} lends credits before it is killed", lambda: self.note_lent(x)
         yield f"a program goes on at {second} after {first} is killed in its turn", lambda: self.kill(x, y)
@@ -448,7 +448,7 @@
         try:
             for _ in range(60):
                 before = len(one.lines("replicas_adopted"))
-                self.store.write("servers", "i-extra", self.tool.row(born=BORN + self.store.version))
+                self.store.write("servers", "i-extra", self.tool.row(born=FIRST_START_MS + self.store.version))
                 wait_for("a change of i-extra", lambda: len(one.lines("replicas_adopted")) > before)
                 if one.lines("replicas_adopted", source="peer"):
                     return
@@ -479,7 +479,7 @@
             x.end(signal.SIGKILL)
         finally:
             self.model.may_answer.set()
-        client.join(PATIENCE)
+        client.join(WAIT_LIMIT_S)
         check(answers and answers[0][1] == 0, f"the turn that was cut: {answers}")
         program.turns(y, y)
 
@@ -548,7 +548,7 @@
     process = subprocess.Popen([REPOSITORY / "scripts/demo.sh", folder], stdout=subprocess.PIPE, text=True,
                                stderr=subprocess.STDOUT, start_new_session=True)
     try:
-        output = process.communicate(timeout=6 * PATIENCE)[0]
+        output = process.communicate(timeout=6 * WAIT_LIMIT_S)[0]
     finally:
         if process.poll() is None:
             os.killpg(process.pid, signal.SIGTERM)
@@ -564,9 +564,9 @@
     compared, logs = 0, [path for label, path in Daemon.logs if label == writer]
     for path in logs:
         named = [sorted({line[k] for line in log_lines(path) if line.get(k)}) for k in ("program", "request")]
-        for ident in named[0][:MOST_STORIES] + named[1][:MOST_STORIES]:
+        for ident in named[0][:MAX_TIMELINES] + named[1][:MAX_TIMELINES]:
             own, others = (subprocess.run([builds[b] / "azurehill-ctl", "explain", ident, path], capture_output=True,
-                                          timeout=PATIENCE, check=False) for b in (writer, reader))
+                                          timeout=WAIT_LIMIT_S, check=False) for b in (writer, reader))
             check(own.returncode == 0 and b" * " in own.stdout, f"{ident}: the writer's own gives {own}")
             check((own.returncode, own.stdout, own.stderr) == (others.returncode, others.stdout, others.stderr),
                   f"{ident}: {own} and {others}")
