--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -20,9 +20,10 @@
     /// \returns an idle connection to \p peer that is still reusable, or one that is not connected
     /// yet.
     http_connection take(const endpoint &peer, time_point now);
-    /// \brief Returns \p connection to the pool, or closes it if it is not reusable.
+    /// \brief Returns \p connection to the pool. Closes it instead if it is not reusable or the
+    /// pool already holds maxPerPeer connections to \p peer.
     void give(const endpoint &peer, http_connection connection, time_point now);
-    /// \brief As above, but reuses only connections idle for no longer than \p maxIdleTime.
+    /// \brief Like take(peer, now), but reuses only connections idle for at most \p maxIdleTime.
     http_connection take(const endpoint &peer, time_point now, duration maxIdleTime);
     /// \brief Closes the connections whose idle timeout has passed.
     void expire(time_point now);
