--- a/bench/bench_capacity_time.cpp
+++ b/bench/bench_capacity_time.cpp
@@ -68,10 +68,11 @@
     const journal_record end = makeFinished(id, turn);
     const std::vector<journal_record> records = {begun, end};
     for (const journal_record &record : records) {
-        batcher.append(std::vector<journal_record>(1, record), commit_need::Kept, time_point());
+        batcher.append(std::vector<journal_record>(1, record), commit_policy::MustCommit,
+                       time_point());
         for (const commit_action &a : batcher.poll(time_point::max() - seconds(1)))
             keep(encode(std::get<write_batch>(a).batch));
-        batcher.onAnswer(batch_answer::Written, time_point());
+        batcher.onAnswer(batch_outcome::Written, time_point());
     }
     book.apply(end);
 }
--- a/bench/bench_journal.cpp
+++ b/bench/bench_journal.cpp
@@ -57,7 +57,7 @@
             endCalls(now);
             if (m_answerAt && now >= *m_answerAt) {
                 m_answerAt.reset();
-                take(m_batcher.onAnswer(batch_answer::Written, now), now);
+                take(m_batcher.onAnswer(batch_outcome::Written, now), now);
             }
             take(m_batcher.poll(now), now);
         }
@@ -84,7 +84,7 @@
     static program_id name(int program) { return {fmt::format("p{:024x}", program)}; }
     void append(journal_record record, bool isBegin, int program, time_point now)
     {
-        const auto ticket = m_batcher.append({std::move(record)}, commit_need::Kept, now);
+        const auto ticket = m_batcher.append({std::move(record)}, commit_policy::MustCommit, now);
         m_pending.push_back({*ticket, now, isBegin, program});
     }
     void take(const std::vector<commit_action> &actions, time_point now)
--- a/bench/bench_log.cpp
+++ b/bench/bench_log.cpp
@@ -54,7 +54,7 @@
 }
 
 /// \brief Tells \p lines through a sink on \p descriptor and prints what one costs.
-void measure(const char *what, int descriptor, const log_bounds &bounds, int lines)
+void measure(const char *what, int descriptor, const log_limits &bounds, int lines)
 {
     // Left behind if its reader stands still: its thread can't be ended then.
     auto *sink = new log_sink(descriptor, bounds);
@@ -88,7 +88,7 @@
     }
     measure("taken", nowhere, {largeBuffer, unlimited, unlimited}, lines);
     measure("dropped by the rate limit", nowhere, {}, lines);
-    measure("reader stands still", unread[1], {log_bounds().waitingBytes, unlimited, unlimited},
+    measure("reader stands still", unread[1], {log_limits().maxPendingBytes, unlimited, unlimited},
             lines);
     return EXIT_SUCCESS;
 }
--- a/demo/main.cpp
+++ b/demo/main.cpp
@@ -63,7 +63,7 @@
             asio::detached);
     }
     while (running > 0)
-        co_await done.waitPast(done.version());
+        co_await done.waitForChangeSince(done.version());
 }
 
 int run(const options &o)
--- a/src/accounts/access.h
+++ b/src/accounts/access.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "accounts/account_book.h"
+#include "accounts/account_registry.h"
 
 #include <variant>
 
@@ -11,11 +11,11 @@
 { };
 
 /// \brief The request's key can't be read, or it carries several.
-struct bad_credential
+struct invalid_credential
 { };
 
 /// \brief How a request says which account it belongs to.
-using credential = std::variant<no_credential, bad_credential, key_digest>;
+using credential = std::variant<no_credential, invalid_credential, key_digest>;
 
 /// \brief What the configuration lets a request do.
 enum class access_verdict {
@@ -38,13 +38,13 @@
 {
     access_verdict verdict = access_verdict::Allowed;
     /// The account that holds the request's key, or null.
-    const account_rule *account = nullptr;
+    const account_config *account = nullptr;
 };
 
 /// \brief Judges a request before anything is read, held or sent for it.
 /// \param accounts those of the configuration in force.
 /// \param isPublic whether the request's route asks for no key.
 /// \param said what the request carries.
-access judgeAccess(const account_book &accounts, bool isPublic, const credential &said);
+access checkAccess(const account_registry &accounts, bool isPublic, const credential &said);
 
 } // namespace azurehill
--- a/src/accounts/account_rule.h
+++ b/src/accounts/account_config.h
@@ -23,7 +23,7 @@
 };
 
 /// \brief What the configuration says of a client account.
-struct account_rule
+struct account_config
 {
     account_id name;
     std::vector<key_digest> keys;
--- a/src/accounts/account_book.cpp
+++ b/src/accounts/account_registry.cpp
@@ -1,4 +1,4 @@
-#include "accounts/account_book.h"
+#include "accounts/account_registry.h"
 
 #include <fmt/format.h>
 
@@ -18,10 +18,11 @@
 
 } // namespace
 
-tl::expected<account_book, std::string> account_book::make(std::vector<account_rule> rules)
+tl::expected<account_registry, std::string>
+account_registry::make(std::vector<account_config> rules)
 {
-    account_book book;
-    for (account_rule &rule : rules) {
+    account_registry book;
+    for (account_config &rule : rules) {
         const account_id name = rule.name;
         if (name.empty() || name.value.size() > maxNameLength || !isHeaderText(name.value))
             return tl::unexpected(std::string("the name of an account can't be sent in a header"));
@@ -38,13 +39,13 @@
     return book;
 }
 
-const account_rule *account_book::holder(const key_digest &digest) const
+const account_config *account_registry::holder(const key_digest &digest) const
 {
     const auto found = m_holders.find(digest);
     return found == m_holders.end() ? nullptr : find(found->second);
 }
 
-const account_rule *account_book::find(const account_id &name) const
+const account_config *account_registry::find(const account_id &name) const
 {
     const auto found = m_rules.find(name);
     return found == m_rules.end() ? nullptr : &found->second;
--- a/src/client/commands.cpp
+++ b/src/client/commands.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-using text_result = tl::expected<std::string, command_error>;
-using words_list = std::vector<std::string>;
+using command_output = tl::expected<std::string, command_error>;
+using string_list = std::vector<std::string>;
 
-text_result failure(int status, std::string text)
+command_output failure(int status, std::string text)
 {
     return tl::unexpected(command_error{status, std::move(text), 0});
 }
@@ -28,8 +28,8 @@
     return json::serialize(v.at("version"));
 }
 
-text_result list(const daemon_client &client, const ctl_options &o, const std::string &name,
-                 const words_list &columns)
+command_output list(const daemon_client &client, const ctl_options &o, const std::string &name,
+                    const string_list &columns)
 {
     auto answer = client.get("/operator/" + name);
     if (!answer)
@@ -39,18 +39,18 @@
     return toTable(answer->at(name).as_array(), columns);
 }
 
-text_result members(const daemon_client &client, const ctl_options &o)
+command_output members(const daemon_client &client, const ctl_options &o)
 {
     return list(client, o, "members", {"daemon", "data_centre", "address", "draining"});
 }
 
-text_result upstreams(const daemon_client &client, const ctl_options &o)
+command_output upstreams(const daemon_client &client, const ctl_options &o)
 {
     return list(client, o, "upstreams",
                 {"upstream", "service", "data_centre", "address", "leaving", "outstanding"});
 }
 
-text_result presets(const daemon_client &client, const ctl_options &o)
+command_output presets(const daemon_client &client, const ctl_options &o)
 {
     return list(client, o, "presets",
                 {"preset", "in_force", "newest", "max_programs", "tokens_in_flight_per_replica",
@@ -58,7 +58,7 @@
 }
 
 /// \brief Asks every member for the programs that it owns.
-text_result programs(const daemon_client &client, const ctl_options &o)
+command_output programs(const daemon_client &client, const ctl_options &o)
 {
     auto cell = client.get("/operator/members");
     if (!cell)
@@ -82,7 +82,7 @@
                     "budget_tokens", "state"});
 }
 
-text_result configShow(const daemon_client &client, const ctl_options &o)
+command_output configShow(const daemon_client &client, const ctl_options &o)
 {
     auto answer = client.get("/operator/config");
     if (!answer)
@@ -90,7 +90,7 @@
     return toPrettyText(o.json ? *answer : answer->at("config")) + "\n";
 }
 
-text_result configHistory(const daemon_client &client, const ctl_options &o)
+command_output configHistory(const daemon_client &client, const ctl_options &o)
 {
     auto answer = client.get("/operator/config/history");
     if (!answer)
@@ -116,11 +116,11 @@
     return nullptr;
 }
 
-std::string changesText(const json::value &before, const json::value &after)
+std::string formatChanges(const json::value &before, const json::value &after)
 {
     std::string text;
-    for (const config_change &c : changesBetween(json::serialize(before.at("config")),
-                                                 json::serialize(after.at("config")))) {
+    for (const config_change &c :
+         diffJson(json::serialize(before.at("config")), json::serialize(after.at("config")))) {
         if (!c.before.empty())
             text += fmt::format("- {} {}\n", c.path, c.before);
         if (!c.after.empty())
@@ -132,8 +132,8 @@
 json::array changesJson(const json::value &before, const json::value &after)
 {
     json::array changes;
-    for (const config_change &c : changesBetween(json::serialize(before.at("config")),
-                                                 json::serialize(after.at("config")))) {
+    for (const config_change &c :
+         diffJson(json::serialize(before.at("config")), json::serialize(after.at("config")))) {
         json::object o{{"path", c.path}};
         if (!c.before.empty())
             o["before"] = json::parse(c.before);
@@ -144,7 +144,7 @@
     return changes;
 }
 
-text_result configDiff(const daemon_client &client, const ctl_options &o)
+command_output configDiff(const daemon_client &client, const ctl_options &o)
 {
     auto answer = client.get("/operator/config/history");
     if (!answer)
@@ -156,7 +156,7 @@
         return failure(BadUsage, "no version " + o.words[before ? 3 : 2] + " in the history");
     if (o.json)
         return toPrettyText(json::object{{"changes", changesJson(*before, *after)}}) + "\n";
-    return changesText(*before, *after);
+    return formatChanges(*before, *after);
 }
 
 /// \returns who changed what since version \p since.
@@ -175,14 +175,14 @@
             continue;
         text += fmt::format(
             "\nversion {} by {} at {}:\n{}", versionOf(v), std::string(v.at("author").as_string()),
-            toUtc(v.at("accepted_ms").to_number<std::int64_t>()), changesText(*before, v));
+            toUtc(v.at("accepted_ms").to_number<std::int64_t>()), formatChanges(*before, v));
         before = &v;
     }
     return text;
 }
 
-text_result change(const daemon_client &client, const ctl_options &o, const std::string &text,
-                   const std::string &version)
+command_output change(const daemon_client &client, const ctl_options &o, const std::string &text,
+                      const std::string &version)
 {
     auto stored = client.putConfig(text, version, o.author);
     if (!stored && stored.error().status == Conflict) {
@@ -198,7 +198,7 @@
                        toUtc(stored->at("activate_ms").to_number<std::int64_t>()));
 }
 
-text_result configApply(const daemon_client &client, const ctl_options &o)
+command_output configApply(const daemon_client &client, const ctl_options &o)
 {
     std::ifstream in(o.words[2], std::ios::binary);
     std::ostringstream text;
@@ -216,7 +216,7 @@
     return change(client, o, text.str(), version);
 }
 
-text_result presetActivate(const daemon_client &client, const ctl_options &o)
+command_output presetActivate(const daemon_client &client, const ctl_options &o)
 {
     auto newest = client.get("/operator/config");
     if (!newest)
@@ -229,11 +229,11 @@
 
 struct command
 {
-    words_list words;
+    string_list words;
     /// Names of the arguments after the words.
-    words_list arguments;
+    string_list arguments;
     const char *help;
-    text_result (*run)(const daemon_client &, const ctl_options &);
+    command_output (*run)(const daemon_client &, const ctl_options &);
 };
 
 const std::vector<command> &commands()
@@ -252,7 +252,7 @@
     return all;
 }
 
-bool matches(const command &c, const words_list &words)
+bool matches(const command &c, const string_list &words)
 {
     return words.size() == c.words.size() + c.arguments.size()
         && std::equal(c.words.begin(), c.words.end(), words.begin());
@@ -279,7 +279,7 @@
         if (!matches(c, options.words))
             continue;
         try {
-            const text_result result = c.run(client, options);
+            const command_output result = c.run(client, options);
             if (result) {
                 fmt::print("{}", *result);
                 return Done;
--- a/src/client/explain.cpp
+++ b/src/client/explain.cpp
@@ -12,15 +12,15 @@
 
 int runExplain(const std::vector<std::string> &words)
 {
-    constexpr std::size_t wordsBeforeFiles = 2;
-    if (words.size() < wordsBeforeFiles) {
+    constexpr std::size_t firstFileIndex = 2;
+    if (words.size() < firstFileIndex) {
         fmt::print(stderr, "azurehill-ctl: explain needs the id of a request or a program\n");
         return BadUsage;
     }
-    log_lines lines;
-    if (words.size() == wordsBeforeFiles)
+    parsed_log lines;
+    if (words.size() == firstFileIndex)
         readLog(std::cin, "-", lines);
-    for (std::size_t i = wordsBeforeFiles; i < words.size(); ++i) {
+    for (std::size_t i = firstFileIndex; i < words.size(); ++i) {
         std::ifstream file(words[i]);
         if (!file) {
             fmt::print(stderr, "azurehill-ctl: can't read {}\n", words[i]);
@@ -28,7 +28,7 @@
         }
         readLog(file, words[i], lines);
     }
-    fmt::print("{}", tellStory(lines, words[1]));
+    fmt::print("{}", formatTimeline(lines, words[1]));
     return Done;
 }
 
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -44,7 +44,7 @@
         in.number("if-version", 0, INT64_MAX);
     options.words = in.words();
     // Reads logs only: no daemon is asked, since it may be gone.
-    if (!options.words.empty() && options.words.front() == explainWord)
+    if (!options.words.empty() && options.words.front() == explainCommand)
         return runExplain(options.words);
     const endpoint daemon = in.address("daemon", false);
     const daemon_client client(daemon, in.requiredText("token"));
--- a/src/client/table.cpp
+++ b/src/client/table.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::string cellOf(const json::value &row, const std::string &column)
+std::string formatCell(const json::value &row, const std::string &column)
 {
     const json::value *v = row.is_object() ? row.get_object().if_contains(column) : nullptr;
     if (!v)
@@ -45,7 +45,7 @@
         std::vector<std::string> line;
         line.reserve(columns.size());
         for (const std::string &column : columns)
-            line.push_back(cellOf(row, column));
+            line.push_back(formatCell(row, column));
         lines.push_back(std::move(line));
     }
     std::vector<std::size_t> widths(columns.size());
--- a/src/config/config_diff.cpp
+++ b/src/config/config_diff.cpp
@@ -21,7 +21,7 @@
         flatten(member, path + "/" + std::string(key), out);
 }
 
-std::map<std::string, std::string> valuesOf(std::string_view text)
+std::map<std::string, std::string> flattenJson(std::string_view text)
 {
     json::error_code code;
     const json::value v = json::parse(json::string_view(text.data(), text.size()), code);
@@ -32,12 +32,12 @@
 
 } // namespace
 
-std::vector<config_change> changesBetween(std::string_view before, std::string_view after)
+std::vector<config_change> diffJson(std::string_view before, std::string_view after)
 {
     std::map<std::string, config_change> changes;
-    for (auto &[path, value] : valuesOf(before))
+    for (auto &[path, value] : flattenJson(before))
         changes[path] = {path, value, ""};
-    for (auto &[path, value] : valuesOf(after)) {
+    for (auto &[path, value] : flattenJson(after)) {
         changes[path].path = path;
         changes[path].after = value;
     }
--- a/src/config/config_diff.h
+++ b/src/config/config_diff.h
@@ -18,6 +18,6 @@
 
 /// \returns what differs between two JSON texts, in the order of their paths; a text that is not
 /// JSON counts as null.
-std::vector<config_change> changesBetween(std::string_view before, std::string_view after);
+std::vector<config_change> diffJson(std::string_view before, std::string_view after);
 
 } // namespace azurehill
--- a/src/config/config_document.cpp
+++ b/src/config/config_document.cpp
@@ -45,7 +45,7 @@
     return result;
 }
 
-config_document documentOf(const json::value &v)
+config_document documentFromJson(const json::value &v)
 {
     config_document d;
     d.head = versionOf(v);
@@ -54,10 +54,10 @@
     return d;
 }
 
-peer_config peerOf(const json::value &v)
+peer_config_response peerResponseFromJson(const json::value &v)
 {
-    peer_config p;
-    p.document = documentOf(v.at("document"));
+    peer_config_response p;
+    p.document = documentFromJson(v.at("document"));
     const json::object &o = v.as_object();
     if (const json::value *age = o.if_contains("confirmed_age_ms"))
         p.confirmedAge = milliseconds(age->to_number<std::int64_t>());
@@ -71,12 +71,12 @@
 /// write these texts.
 template <class Function>
 auto parsed(std::string_view text, Function convert)
-    -> tl::expected<decltype(convert(json::value())), config_fault>
+    -> tl::expected<decltype(convert(json::value())), config_error>
 {
     try {
         return convert(json::parse(json::string_view(text.data(), text.size())));
     } catch (const std::exception &e) {
-        return tl::unexpected(config_fault{"", e.what()});
+        return tl::unexpected(config_error{"", e.what()});
     }
 }
 
@@ -92,7 +92,7 @@
     return json::serialize(toJson(d));
 }
 
-std::string toText(const peer_config &p)
+std::string toText(const peer_config_response &p)
 {
     json::object o{{"document", toJson(p.document)}};
     // Rounded up: an age or an error may only be told larger than it is.
@@ -104,19 +104,19 @@
     return json::serialize(o);
 }
 
-tl::expected<config_version, config_fault> parseConfigVersion(std::string_view text)
+tl::expected<config_version, config_error> parseConfigVersion(std::string_view text)
 {
     return parsed(text, versionOf);
 }
 
-tl::expected<config_document, config_fault> parseConfigDocument(std::string_view text)
+tl::expected<config_document, config_error> parseConfigDocument(std::string_view text)
 {
-    return parsed(text, documentOf);
+    return parsed(text, documentFromJson);
 }
 
-tl::expected<peer_config, config_fault> parsePeerConfig(std::string_view text)
+tl::expected<peer_config_response, config_error> parsePeerConfigResponse(std::string_view text)
 {
-    return parsed(text, peerOf);
+    return parsed(text, peerResponseFromJson);
 }
 
 } // namespace azurehill
--- a/src/config/config_document.h
+++ b/src/config/config_document.h
@@ -41,7 +41,7 @@
 };
 
 /// \brief What a daemon tells a peer that can't read the store.
-struct peer_config
+struct peer_config_response
 {
     config_document document;
     /// How long ago the peer's own confirmation began, or nothing when it has none.
@@ -53,10 +53,10 @@
 
 std::string toText(const config_version &v);
 std::string toText(const config_document &d);
-std::string toText(const peer_config &p);
+std::string toText(const peer_config_response &p);
 
-tl::expected<config_version, config_fault> parseConfigVersion(std::string_view text);
-tl::expected<config_document, config_fault> parseConfigDocument(std::string_view text);
-tl::expected<peer_config, config_fault> parsePeerConfig(std::string_view text);
+tl::expected<config_version, config_error> parseConfigVersion(std::string_view text);
+tl::expected<config_document, config_error> parseConfigDocument(std::string_view text);
+tl::expected<peer_config_response, config_error> parsePeerConfigResponse(std::string_view text);
 
 } // namespace azurehill
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -5,7 +5,7 @@
 namespace azurehill {
 
 /// \brief One fault of a configuration document.
-struct config_fault
+struct config_error
 {
     /// Where it is, as a JSON pointer such as "/tenants/school/weight".
     std::string path;
--- a/src/config/config_follower.cpp
+++ b/src/config/config_follower.cpp
@@ -6,28 +6,29 @@
 
 namespace {
 
-constexpr std::size_t maxWaitingVersions = 16;
+constexpr std::size_t maxPendingVersions = 16;
 /// What two hosts' clocks may drift apart within a validity, with room to spare.
-constexpr duration driftMargin = milliseconds(10);
+constexpr duration clockDriftMargin = milliseconds(10);
 
 } // namespace
 
-void config_follower::onStore(time_point sentAt, time_point receivedAt,
-                              std::optional<config_document> document,
-                              std::optional<std::int64_t> platformMs)
+void config_follower::onStoreRead(time_point sentAt, time_point receivedAt,
+                                  std::optional<config_document> document,
+                                  std::optional<std::int64_t> platformMs)
 {
     if (platformMs)
-        m_time.onSample(sentAt, receivedAt, *platformMs);
+        m_time.addSample(sentAt, receivedAt, *platformMs);
     // A read that shows an older head than the one known is late: it tells nothing of now.
     if (!document || !adopt(*document, receivedAt))
         return;
     m_confirmedAt = std::max(m_confirmedAt.value_or(sentAt), sentAt);
 }
 
-void config_follower::onPeer(time_point sentAt, time_point receivedAt, peer_config answer)
+void config_follower::onPeerResponse(time_point sentAt, time_point receivedAt,
+                                     peer_config_response answer)
 {
     if (answer.nowMs)
-        m_time.onSample(sentAt, receivedAt, *answer.nowMs, answer.error);
+        m_time.addSample(sentAt, receivedAt, *answer.nowMs, answer.error);
     if (!adopt(answer.document, receivedAt) || !answer.confirmedAge)
         return;
     // The peer told its age after this request was sent, so its read is no older than this.
@@ -52,12 +53,12 @@
         m_entries.push_back({v, receivedAt, std::nullopt});
     }
     const auto bounds = m_time.at(receivedAt);
-    const auto isOver = [&] {
-        return m_entries.size() > maxWaitingVersions
+    const auto canDropOldest = [&] {
+        return m_entries.size() > maxPendingVersions
             || (bounds && m_entries.size() > 1
                 && m_entries[1].version.activateMs <= bounds->earliestMs);
     };
-    while (isOver())
+    while (canDropOldest())
         m_entries.pop_front();
     return true;
 }
@@ -65,21 +66,21 @@
 std::vector<config_action> config_follower::poll(time_point now)
 {
     std::vector<config_action> actions;
-    if (!m_polledAt || now >= *m_polledAt + m_settings.pollEvery) {
-        m_polledAt = now;
+    if (!m_storePolledAt || now >= *m_storePolledAt + m_settings.storePollInterval) {
+        m_storePolledAt = now;
         actions.push_back(config_action::ReadStore);
     }
     const bool late = !m_confirmedAt || now >= *m_confirmedAt + m_settings.validity;
-    if (late && (!m_askedAt || now >= *m_askedAt + m_settings.pollEvery)) {
-        m_askedAt = now;
-        actions.push_back(config_action::AskPeers);
+    if (late && (!m_peersQueriedAt || now >= *m_peersQueriedAt + m_settings.storePollInterval)) {
+        m_peersQueriedAt = now;
+        actions.push_back(config_action::QueryPeers);
     }
     return actions;
 }
 
 time_point config_follower::wakeAt(time_point now) const
 {
-    return m_polledAt ? std::max(now, *m_polledAt + m_settings.pollEvery) : now;
+    return m_storePolledAt ? std::max(now, *m_storePolledAt + m_settings.storePollInterval) : now;
 }
 
 bool config_follower::isConfirmed(time_point now) const
@@ -90,25 +91,26 @@
 bool config_follower::isSettled(const entry &e, time_point now, const time_bounds &bounds) const
 {
     // Nobody decides by anything older than the first version of all.
-    if (e.version.number == 1 || now >= e.seenAt + m_settings.validity + driftMargin)
+    if (e.version.number == 1 || now >= e.firstSeenAt + m_settings.validity + clockDriftMargin)
         return true;
     if (bounds.earliestMs >= e.version.acceptedMs
-            + toMilliseconds(m_settings.lateWriteLimit + m_settings.validity + driftMargin))
+            + toMilliseconds(m_settings.lateWriteTimeout + m_settings.validity + clockDriftMargin))
         return true;
     return e.effectiveBeforeMs
         && bounds.earliestMs
-        >= *e.effectiveBeforeMs + toMilliseconds(m_settings.validity + driftMargin);
+        >= *e.effectiveBeforeMs + toMilliseconds(m_settings.validity + clockDriftMargin);
 }
 
-tl::expected<config_version, preset_doubt> config_follower::inForce(time_point now) const
+tl::expected<config_version, preset_unavailable_reason>
+config_follower::inForce(time_point now) const
 {
     if (m_entries.empty())
-        return tl::unexpected(preset_doubt::NoConfiguration);
+        return tl::unexpected(preset_unavailable_reason::NoConfiguration);
     if (!isConfirmed(now))
-        return tl::unexpected(preset_doubt::Unconfirmed);
+        return tl::unexpected(preset_unavailable_reason::Unconfirmed);
     const auto bounds = m_time.at(now);
     if (!bounds)
-        return tl::unexpected(preset_doubt::NoTime);
+        return tl::unexpected(preset_unavailable_reason::NoTime);
     for (auto e = m_entries.rbegin(); e != m_entries.rend(); ++e) {
         if (bounds->latestMs < e->version.activateMs)
             continue;
@@ -116,7 +118,7 @@
             break;
         return e->version;
     }
-    return tl::unexpected(preset_doubt::Changing);
+    return tl::unexpected(preset_unavailable_reason::Changing);
 }
 
 std::optional<config_version> config_follower::current(time_point now) const
@@ -136,11 +138,11 @@
     return m_entries.empty() ? std::nullopt : std::optional(m_entries.back().version);
 }
 
-std::optional<peer_config> config_follower::forPeer(time_point now) const
+std::optional<peer_config_response> config_follower::forPeer(time_point now) const
 {
     if (m_entries.empty())
         return std::nullopt;
-    peer_config p;
+    peer_config_response p;
     p.document.head = m_entries.back().version;
     for (std::size_t i = 0; i + 1 < m_entries.size(); ++i)
         p.document.before.push_back(m_entries[i].version);
@@ -177,7 +179,7 @@
             d.before.clear(); // what came before this one is over everywhere
         d.before.push_back(e.version);
     }
-    if (d.before.size() >= maxWaitingVersions)
+    if (d.before.size() >= maxPendingVersions)
         return tl::unexpected(proposal_error::TooManyWaiting);
     return d;
 }
--- a/src/config/config_follower.h
+++ b/src/config/config_follower.h
@@ -7,9 +7,9 @@
 
 namespace azurehill {
 
-struct follower_settings
+struct config_follower_settings
 {
-    duration pollEvery = seconds(1);
+    duration storePollInterval = seconds(1);
     /// How long a confirmed head may be relied on, from the moment the read was sent.
     duration validity = milliseconds(2500);
     /// From acceptance to activation: a poll, a slow answer and a validity, so that in ordinary
@@ -17,16 +17,16 @@
     duration activationDelay = seconds(4);
     /// A write that has not taken effect so long after it was sent never will: its connection was
     /// given up long before.
-    duration lateWriteLimit = seconds(30);
+    duration lateWriteTimeout = seconds(30);
 };
 
-enum class config_action { ReadStore, AskPeers };
+enum class config_action { ReadStore, QueryPeers };
 
 /// \brief Why no preset decides now.
-enum class preset_doubt { NoConfiguration, Unconfirmed, NoTime, Changing };
+enum class preset_unavailable_reason { NoConfiguration, Unconfirmed, NoTime, Changing };
 
 template <>
-struct enum_names<preset_doubt>
+struct enum_names<preset_unavailable_reason>
 {
     static constexpr std::array<std::string_view, 4> names
         = {"no_configuration", "unconfirmed", "no_time", "changing"};
@@ -48,18 +48,19 @@
 class config_follower
 {
 public:
-    explicit config_follower(follower_settings settings = {}) : m_settings(settings) { }
+    explicit config_follower(config_follower_settings settings = {}) : m_settings(settings) { }
 
     /// \brief Takes in an answer of the store: the document, or nothing when there is none yet.
-    void onStore(time_point sentAt, time_point receivedAt, std::optional<config_document> document,
-                 std::optional<std::int64_t> platformMs);
+    void onStoreRead(time_point sentAt, time_point receivedAt,
+                     std::optional<config_document> document,
+                     std::optional<std::int64_t> platformMs);
     /// \brief Takes in the platform's time from a source other than its table, wrong by \p error.
-    void onTime(time_point now, std::int64_t platformMs, duration error)
+    void onTimeSample(time_point now, std::int64_t platformMs, duration error)
     {
-        m_time.onSample(now, now, platformMs, error);
+        m_time.addSample(now, now, platformMs, error);
     }
     /// \brief Takes in a peer's answer.
-    void onPeer(time_point sentAt, time_point receivedAt, peer_config answer);
+    void onPeerResponse(time_point sentAt, time_point receivedAt, peer_config_response answer);
 
     /// \returns what to read at \p now.
     std::vector<config_action> poll(time_point now);
@@ -67,14 +68,14 @@
     time_point wakeAt(time_point now) const;
 
     /// \returns the version whose preset decides at \p now, or why none does.
-    tl::expected<config_version, preset_doubt> inForce(time_point now) const;
+    tl::expected<config_version, preset_unavailable_reason> inForce(time_point now) const;
     /// \returns the version for all that presets don't decide, by the best knowledge at \p now: in
     /// an outage programs still run by it.
     std::optional<config_version> current(time_point now) const;
     /// \returns the newest version known, which may still wait for its activation.
     std::optional<config_version> head() const;
     /// \returns what to tell a peer.
-    std::optional<peer_config> forPeer(time_point now) const;
+    std::optional<peer_config_response> forPeer(time_point now) const;
     const platform_time &time() const { return m_time; }
 
     /// \brief Makes the document of a change to version \p expected.
@@ -87,7 +88,7 @@
     {
         config_version version;
         /// The store held it no later than here, by this host's clock.
-        time_point seenAt;
+        time_point firstSeenAt;
         /// The store held it no later than here, by the platform's; from the version after it.
         std::optional<std::int64_t> effectiveBeforeMs;
     };
@@ -96,13 +97,13 @@
     bool isConfirmed(time_point now) const;
     bool isSettled(const entry &e, time_point now, const time_bounds &bounds) const;
 
-    follower_settings m_settings;
+    config_follower_settings m_settings;
     platform_time m_time;
     /// Oldest first; the last is the head.
     std::deque<entry> m_entries;
     std::optional<time_point> m_confirmedAt;
-    std::optional<time_point> m_polledAt;
-    std::optional<time_point> m_askedAt;
+    std::optional<time_point> m_storePolledAt;
+    std::optional<time_point> m_peersQueriedAt;
 };
 
 } // namespace azurehill
--- a/src/config/config_text.cpp
+++ b/src/config/config_text.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using faults = std::vector<config_fault>;
+using faults = std::vector<config_error>;
 
 /// \brief Reads the members of one JSON object, gathering faults.
 class object_reader
@@ -171,8 +171,8 @@
     in.name("kind", s.kind);
     in.strings("models", s.models);
     in.boolean("checks_fencing", s.checksFencing);
-    in.milliseconds("call_limit_ms", s.callLimit);
-    in.milliseconds("silence_limit_ms", s.silenceLimit);
+    in.milliseconds("call_limit_ms", s.callTimeout);
+    in.milliseconds("silence_limit_ms", s.streamIdleTimeout);
     if (s.kind == service_kind::Engine && s.models.empty())
         in.fault("models", "an engine needs at least one model");
     return s;
@@ -222,7 +222,7 @@
 
 } // namespace
 
-tl::expected<configuration, std::vector<config_fault>> parseConfiguration(std::string_view text)
+tl::expected<configuration, std::vector<config_error>> parseConfiguration(std::string_view text)
 {
     json::error_code code;
     const json::value document = json::parse(json::string_view(text.data(), text.size()), code);
@@ -257,8 +257,8 @@
         services[name] = json::object{{"kind", toName(s.kind)},
                                       {"models", json::array(s.models.begin(), s.models.end())},
                                       {"checks_fencing", s.checksFencing},
-                                      {"call_limit_ms", toMilliseconds(s.callLimit)},
-                                      {"silence_limit_ms", toMilliseconds(s.silenceLimit)}};
+                                      {"call_limit_ms", toMilliseconds(s.callTimeout)},
+                                      {"silence_limit_ms", toMilliseconds(s.streamIdleTimeout)}};
     }
     json::object presets;
     for (const auto &[name, p] : c.presets) {
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -68,9 +68,9 @@
     /// Whether its replicas refuse an order that carries an old fencing number.
     bool checksFencing = false;
     /// Longest time a call may take.
-    duration callLimit = seconds(60);
+    duration callTimeout = seconds(60);
     /// Longest silence within a stream.
-    duration silenceLimit = seconds(10);
+    duration streamIdleTimeout = seconds(10);
 };
 
 /// \brief The document that operators change and every daemon follows.
--- a/src/config/platform_time.cpp
+++ b/src/config/platform_time.cpp
@@ -11,27 +11,27 @@
 
 } // namespace
 
-void platform_time::onSample(time_point sentAt, time_point receivedAt, std::int64_t nowMs,
-                             duration error)
+void platform_time::addSample(time_point sentAt, time_point receivedAt, std::int64_t nowMs,
+                              duration error)
 {
     const duration total = (receivedAt - sentAt) / 2 + rounding + error;
-    if (m_middle && total > errorAt(receivedAt))
+    if (m_sampledAt && total > errorAt(receivedAt))
         return;
-    m_middle = sentAt + (receivedAt - sentAt) / 2;
+    m_sampledAt = sentAt + (receivedAt - sentAt) / 2;
     m_platformMs = nowMs;
     m_error = total;
 }
 
 duration platform_time::errorAt(time_point now) const
 {
-    return m_error + (now - *m_middle) / driftDivisor;
+    return m_error + (now - *m_sampledAt) / driftDivisor;
 }
 
 std::optional<time_bounds> platform_time::at(time_point now) const
 {
-    if (!m_middle)
+    if (!m_sampledAt)
         return std::nullopt;
-    const std::int64_t middle = m_platformMs + toMilliseconds(now - *m_middle);
+    const std::int64_t middle = m_platformMs + toMilliseconds(now - *m_sampledAt);
     const std::int64_t error = toMilliseconds(errorAt(now)) + 1;
     return time_bounds{middle - error, middle + error};
 }
--- a/src/config/platform_time.h
+++ b/src/config/platform_time.h
@@ -22,15 +22,15 @@
 {
 public:
     /// \brief Takes in an answer with the platform's time \p nowMs, itself wrong by \p error.
-    void onSample(time_point sentAt, time_point receivedAt, std::int64_t nowMs,
-                  duration error = {});
+    void addSample(time_point sentAt, time_point receivedAt, std::int64_t nowMs,
+                   duration error = {});
     /// \returns the platform's time at \p now, or nothing before the first sample.
     std::optional<time_bounds> at(time_point now) const;
 
 private:
     duration errorAt(time_point now) const;
 
-    std::optional<time_point> m_middle;
+    std::optional<time_point> m_sampledAt;
     std::int64_t m_platformMs = 0;
     duration m_error{};
 };
--- a/src/core/ids.cpp
+++ b/src/core/ids.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int rootIdBytes = 12;
-constexpr int childIdBytes = 4;
+constexpr int rootRandomBytes = 12;
+constexpr int childRandomBytes = 4;
 constexpr std::size_t maxProgramIdLength = 128;
 
 bool isHexDigit(char c)
@@ -38,8 +38,8 @@
 program_id makeProgramId(const program_id &parent)
 {
     if (parent.empty())
-        return {"p" + randomHex(rootIdBytes)};
-    return {parent.value + "." + randomHex(childIdBytes)};
+        return {"p" + randomHex(rootRandomBytes)};
+    return {parent.value + "." + randomHex(childRandomBytes)};
 }
 
 program_id rootOf(const program_id &id)
--- a/src/core/log.cpp
+++ b/src/core/log.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-std::atomic<log_level> lowestLevel{log_level::Info};
+std::atomic<log_level> minLogLevel{log_level::Info};
 
 std::string utcNow()
 {
@@ -33,7 +33,7 @@
 
 void setLogLevel(log_level lowest)
 {
-    lowestLevel = lowest;
+    minLogLevel = lowest;
 }
 
 std::string formatLogLine(log_level level, std::string_view event,
@@ -50,7 +50,7 @@
 
 void logEvent(log_level level, std::string_view event, std::initializer_list<log_field> fields)
 {
-    if (level < lowestLevel)
+    if (level < minLogLevel)
         return;
     // One write a line, so that lines of several threads don't mix.
     fmt::print(stderr, "{}", formatLogLine(level, event, fields));
@@ -59,7 +59,7 @@
 void logDecision(log_event event, std::initializer_list<log_field> fields)
 {
     const log_level level = levelOf(event);
-    if (level < lowestLevel)
+    if (level < minLogLevel)
         return;
     log_sink *sink = currentLogSink();
     const std::int64_t nowMs = unixMilliseconds();
--- a/src/core/log_event.h
+++ b/src/core/log_event.h
@@ -15,7 +15,7 @@
     Stopped,
     Reloaded,
     BadSettings,
-    CantListen,
+    ListenFailed,
     ConfigurationAdopted,
     ConfigurationUnreadable,
     ReplicasAdopted,
@@ -24,33 +24,33 @@
     ReplicaRestarted,
     ReplicaGone,
     ReplicaRowUnreadable,
-    ReplicaDoubted,
-    ReplicaTrusted,
+    ReplicaEjected,
+    ReplicaReinstated,
     MemberBack,
     MemberGone,
     GossipUnreadable,
-    StoreLost,
-    StoreRegained,
+    StoreUnreachable,
+    StoreRecovered,
     TrafficCounted,
-    QuotaHeld,
-    QuotaTaken,
-    QuotaLost,
-    NotUnregistered,
+    QuotaShardAcquired,
+    QuotaShardTakenOver,
+    QuotaShardLost,
+    DeregistrationFailed,
     RowUnreadable,
     RowsDropped,
     TurnNotLoaded,
-    TokensHeld,
-    HoldNotSettled,
-    PlaceGranted,
-    PlaceNotGranted,
+    TokensReserved,
+    ReservationNotSettled,
+    RequestAdmitted,
+    RequestNotAdmitted,
     Sent,
     SendEnded,
-    SilenceChecked,
+    SilentReplicaProbed,
     TurnDurable,
     TurnNotDurable,
-    TurnBrokeOff,
+    TurnInterrupted,
     Answered,
-    OwnAnswer,
+    LocalReply,
     LogDropped,
 };
 
@@ -106,23 +106,23 @@
 {
     switch (event) {
     case log_event::BadSettings:
-    case log_event::CantListen:
+    case log_event::ListenFailed:
     case log_event::ConfigurationUnreadable:
     case log_event::RowUnreadable:
         return log_level::Error;
     case log_event::ReplicaRowUnreadable:
-    case log_event::ReplicaDoubted:
+    case log_event::ReplicaEjected:
     case log_event::MemberGone:
     case log_event::GossipUnreadable:
-    case log_event::StoreLost:
-    case log_event::QuotaLost:
-    case log_event::NotUnregistered:
+    case log_event::StoreUnreachable:
+    case log_event::QuotaShardLost:
+    case log_event::DeregistrationFailed:
     case log_event::TurnNotLoaded:
-    case log_event::HoldNotSettled:
-    case log_event::PlaceNotGranted:
+    case log_event::ReservationNotSettled:
+    case log_event::RequestNotAdmitted:
     case log_event::TurnNotDurable:
-    case log_event::TurnBrokeOff:
-    case log_event::OwnAnswer:
+    case log_event::TurnInterrupted:
+    case log_event::LocalReply:
     case log_event::LogDropped:
         return log_level::Warning;
     default:
--- a/src/core/log_sink.cpp
+++ b/src/core/log_sink.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr std::int64_t reportPauseMs = 1000;
+constexpr std::int64_t dropReportIntervalMs = 1000;
 /// Room that must be left for another line to be put together: most are shorter (300 bytes for a
 /// send, on a calm day).
-constexpr std::size_t usualLine = 512;
+constexpr std::size_t typicalLineBytes = 512;
 /// Lines are gathered this long before they are written, so that the thread wakes rarely.
-constexpr milliseconds gatherTime{20};
+constexpr milliseconds writeDelay{20};
 
-std::atomic<log_sink *> sinkInUse{nullptr};
+std::atomic<log_sink *> activeSink{nullptr};
 
 /// \brief Writes all of \p text, waiting for the reader as long as it takes.
 void writeAll(int descriptor, std::string_view text)
@@ -39,15 +39,15 @@
 
 void setLogSink(log_sink *sink)
 {
-    sinkInUse = sink;
+    activeSink = sink;
 }
 
 log_sink *currentLogSink()
 {
-    return sinkInUse;
+    return activeSink;
 }
 
-log_sink::log_sink(int descriptor, const log_bounds &bounds)
+log_sink::log_sink(int descriptor, const log_limits &bounds)
     : m_descriptor(descriptor), m_bounds(bounds)
 { }
 
@@ -55,11 +55,11 @@
 {
     if (nowMs / 1000 != m_second) {
         m_second = nowMs / 1000;
-        m_thisSecond.fill(0);
+        m_linesThisSecond.fill(0);
     }
     const bool isSerious = levelOf(event) >= log_level::Warning;
-    const int limit = isSerious ? m_bounds.warningsPerSecond : m_bounds.infoPerSecond;
-    return ++m_thisSecond[static_cast<std::size_t>(event)] <= limit;
+    const int limit = isSerious ? m_bounds.maxWarningsPerSecond : m_bounds.maxInfoPerSecond;
+    return ++m_linesThisSecond[static_cast<std::size_t>(event)] <= limit;
 }
 
 std::string log_sink::takeDropReport(std::int64_t nowMs)
@@ -78,13 +78,13 @@
 void log_sink::countDropped(log_event event)
 {
     ++m_dropped[static_cast<std::size_t>(event)];
-    ++m_droppedInAll;
+    ++m_totalDropped;
 }
 
 bool log_sink::admits(log_event event, std::int64_t nowMs)
 {
     const std::lock_guard lock(m_mutex);
-    const bool hasRoom = m_waiting.size() + usualLine <= m_bounds.waitingBytes;
+    const bool hasRoom = m_waiting.size() + typicalLineBytes <= m_bounds.maxPendingBytes;
     const bool isAdmitted = isWithinRate(event, nowMs) && hasRoom;
     if (!isAdmitted)
         countDropped(event);
@@ -94,12 +94,12 @@
 void log_sink::put(log_event event, const std::string &line, std::int64_t nowMs)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_waiting.size() + line.size() > m_bounds.waitingBytes) {
+    if (m_waiting.size() + line.size() > m_bounds.maxPendingBytes) {
         countDropped(event);
         return;
     }
     const bool wasEmpty = m_waiting.empty();
-    if (m_droppedInAll > 0 && nowMs >= m_reportedAtMs + reportPauseMs) {
+    if (m_totalDropped > 0 && nowMs >= m_reportedAtMs + dropReportIntervalMs) {
         const std::string report = takeDropReport(nowMs);
         if (report.find("{}") == std::string::npos)
             m_waiting += report;
@@ -115,7 +115,7 @@
     while (true) {
         m_changed.wait(lock, [this] { return !m_waiting.empty() || m_isStopping; });
         if (!m_isStopping)
-            m_changed.wait_for(lock, gatherTime, [this] { return m_isStopping; });
+            m_changed.wait_for(lock, writeDelay, [this] { return m_isStopping; });
         if (m_waiting.empty() && m_isStopping)
             break;
         const std::string text = std::move(m_waiting);
@@ -139,7 +139,7 @@
 std::uint64_t log_sink::dropped() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_droppedInAll;
+    return m_totalDropped;
 }
 
 } // namespace azurehill
--- a/src/core/log_sink.h
+++ b/src/core/log_sink.h
@@ -12,14 +12,14 @@
 namespace azurehill {
 
 /// \brief Bounds of the log.
-struct log_bounds
+struct log_limits
 {
     /// Bytes of lines that wait for the reader of the output.
-    std::size_t waitingBytes = 1U << 20U;
+    std::size_t maxPendingBytes = 1U << 20U;
     /// Lines a second of one event. Requests that went well are many and alike.
-    int infoPerSecond = 500;
+    int maxInfoPerSecond = 500;
     /// The same for warnings and errors: below this rate no failed or refused request is missing.
-    int warningsPerSecond = 2000;
+    int maxWarningsPerSecond = 2000;
 };
 
 /// \brief Takes lines from any thread and writes them on one of its own.
@@ -29,7 +29,7 @@
 class log_sink
 {
 public:
-    log_sink(int descriptor, const log_bounds &bounds);
+    log_sink(int descriptor, const log_limits &bounds);
 
     /// \brief Counts a line of \p event. \returns whether the rate allows it and there is room, so
     /// that a line that is dropped need not be put together.
@@ -51,16 +51,16 @@
     std::string takeDropReport(std::int64_t nowMs);
 
     int m_descriptor;
-    log_bounds m_bounds;
+    log_limits m_bounds;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     std::string m_waiting;
     bool m_isStopping = false;
     bool m_isDone = false;
     std::int64_t m_second = 0;
-    std::array<int, eventCount> m_thisSecond{};
+    std::array<int, eventCount> m_linesThisSecond{};
     std::array<std::uint64_t, eventCount> m_dropped{};
-    std::uint64_t m_droppedInAll = 0;
+    std::uint64_t m_totalDropped = 0;
     std::int64_t m_reportedAtMs = 0;
 };
 
--- a/src/core/mechanism.cpp
+++ b/src/core/mechanism.cpp
@@ -2,11 +2,11 @@
 
 namespace azurehill {
 
-std::string mechanism_set::offNames() const
+std::string mechanism_set::disabledNames() const
 {
     std::string all;
-    for (std::size_t i = 0; i < m_off.size(); ++i) {
-        if (!m_off.test(i))
+    for (std::size_t i = 0; i < m_disabled.size(); ++i) {
+        if (!m_disabled.test(i))
             continue;
         if (!all.empty())
             all += ',';
@@ -15,7 +15,7 @@
     return all;
 }
 
-std::string switchOffByName(mechanism_set &mechanisms, std::string_view list)
+std::string disableByName(mechanism_set &mechanisms, std::string_view list)
 {
     while (!list.empty()) {
         const std::size_t comma = list.find(',');
@@ -23,7 +23,7 @@
         const auto found = fromName<mechanism>(name);
         if (!found)
             return std::string(name);
-        mechanisms.switchOff(*found);
+        mechanisms.disable(*found);
         list = comma == std::string_view::npos ? std::string_view() : list.substr(comma + 1);
     }
     return {};
--- a/src/core/mechanism.h
+++ b/src/core/mechanism.h
@@ -12,27 +12,27 @@
 /// docs/DECISIONS.md has the figures.
 enum class mechanism {
     /// Requests wait for a place at a service's engines, ordered by what they can win.
-    EngineGate,
+    EngineAdmission,
     /// The bound on places starts from the replicas' slots, and ends a little above them.
-    FillSlots,
+    SlotBasedLimits,
     /// Prompt tokens that a replica would read are priced for the requests that it would hold up.
-    CrowdedReads,
+    PrefillInterference,
     /// Parts that many programs share count as cached wherever a replica has run for a while.
-    SharedParts,
+    SharedPromptParts,
     /// A replica whose answers begin later than its peers' counts as slower.
     LearnedSlowness,
     /// Writes keep to the daemon's part of the store's rate, most urgent first.
     PacedWrites,
     /// Writes that have to wait go in one transaction.
-    MergedWrites,
+    BatchedWrites,
     /// A call beyond the store's rate is made again and is no sign of an outage.
-    LimitIsNoOutage,
+    RateLimitIsNoOutage,
     /// Calls that the store does not answer here are made through another daemon.
-    PeerCalls,
+    PeerStoreCalls,
     /// Daemons read the replicas' entries by turns, and take changes from each other.
-    TableTurns,
+    SharedTablePolling,
     /// The turns of a session whose caller keeps its history go to the replica that hashing names.
-    SessionHomes,
+    SessionAffinity,
 };
 
 template <>
@@ -48,17 +48,17 @@
 class mechanism_set
 {
 public:
-    bool has(mechanism m) const { return !m_off.test(static_cast<std::size_t>(m)); }
-    void switchOff(mechanism m) { m_off.set(static_cast<std::size_t>(m)); }
+    bool has(mechanism m) const { return !m_disabled.test(static_cast<std::size_t>(m)); }
+    void disable(mechanism m) { m_disabled.set(static_cast<std::size_t>(m)); }
     /// \returns the names of those that are off, separated by commas.
-    std::string offNames() const;
+    std::string disabledNames() const;
 
 private:
-    std::bitset<enum_names<mechanism>::names.size()> m_off;
+    std::bitset<enum_names<mechanism>::names.size()> m_disabled;
 };
 
 /// \brief Switches off the mechanisms named in \p list, separated by commas.
 /// \returns the name that is none, or an empty text.
-std::string switchOffByName(mechanism_set &mechanisms, std::string_view list);
+std::string disableByName(mechanism_set &mechanisms, std::string_view list);
 
 } // namespace azurehill
--- a/src/core/runtime_clock.cpp
+++ b/src/core/runtime_clock.cpp
@@ -10,7 +10,7 @@
 std::atomic<bool> paused{false};
 std::atomic<duration::rep> pausedAt{0};
 
-duration machineTime() noexcept
+duration bootTime() noexcept
 {
     timespec t{};
     clock_gettime(CLOCK_BOOTTIME, &t);
@@ -21,12 +21,12 @@
 
 time_point runtime_clock::now() noexcept
 {
-    return time_point(paused ? duration(pausedAt.load()) : machineTime());
+    return time_point(paused ? duration(pausedAt.load()) : bootTime());
 }
 
 void runtime_clock::pause() noexcept
 {
-    pausedAt = machineTime().count();
+    pausedAt = bootTime().count();
     paused = true;
 }
 
--- a/src/core/traffic_meter.cpp
+++ b/src/core/traffic_meter.cpp
@@ -14,7 +14,7 @@
 void traffic_meter::onCall(std::string_view purpose, std::size_t sent, std::size_t received,
                            time_point now)
 {
-    if (now - m_since >= reportPeriod)
+    if (now - m_periodStart >= reportPeriod)
         report(now);
     auto found = m_traffic.find(purpose);
     if (found == m_traffic.end())
@@ -33,10 +33,10 @@
                      {"calls", t.calls},
                      {"sent_bytes", t.sent},
                      {"received_bytes", t.received},
-                     {"period_ms", toMilliseconds(now - m_since)}});
+                     {"period_ms", toMilliseconds(now - m_periodStart)}});
     }
     m_traffic.clear();
-    m_since = now;
+    m_periodStart = now;
 }
 
 } // namespace azurehill
--- a/src/core/traffic_meter.h
+++ b/src/core/traffic_meter.h
@@ -31,7 +31,7 @@
     void report(time_point now);
 
     std::map<std::string, traffic, std::less<>> m_traffic;
-    time_point m_since = runtime_clock::now();
+    time_point m_periodStart = runtime_clock::now();
 };
 
 } // namespace azurehill
--- a/src/daemon/call_stream.cpp
+++ b/src/daemon/call_stream.cpp
@@ -59,7 +59,7 @@
         p.abandoned = gone && *gone;
         if (p.abandoned || tryRead(from, p))
             co_return p;
-        co_await m_changed.waitPast(seen);
+        co_await m_changed.waitForChangeSince(seen);
     }
 }
 
@@ -70,7 +70,7 @@
         const auto ended = end();
         if (ended || (gone && *gone))
             co_return ended;
-        co_await m_changed.waitPast(seen);
+        co_await m_changed.waitForChangeSince(seen);
     }
 }
 
--- a/src/daemon/control.h
+++ b/src/daemon/control.h
@@ -142,11 +142,11 @@
 
     /// \returns the preset that decides now, or why none certainly does: what a preset decides is
     /// refused then.
-    tl::expected<preset, preset_doubt> presetInForce() const;
+    tl::expected<preset, preset_unavailable_reason> presetInForce() const;
     /// \returns the version that decides now, or why none does.
-    tl::expected<config_version, preset_doubt> configInForce() const;
+    tl::expected<config_version, preset_unavailable_reason> configInForce() const;
     /// \returns what to tell a peer that can't read the store.
-    std::optional<peer_config> configForPeer() const;
+    std::optional<peer_config_response> configForPeer() const;
     /// \returns the newest version known, which may still wait for its activation.
     std::optional<config_version> configHead() const { return m_follower.head(); }
     /// \brief Reads the store if it can be reached. \returns the newest version known.
@@ -192,7 +192,7 @@
     awaitable<void> refreshLeases();
     awaitable<void> perform(membership_action action);
     transaction toTransaction(const change_view &change) const;
-    transaction toTransaction(const drop_lease &drop) const;
+    transaction toTransaction(const delete_lease &drop) const;
     awaitable<bool> loadGained();
     awaitable<std::optional<std::vector<journal_batch>>> listBatches(std::string prefix);
     void adopt(const cell_view &view);
@@ -205,16 +205,16 @@
                                                                             config_version version);
     awaitable<std::optional<bool>> isStored(config_version version);
 
-    awaitable<commit_result> commit(journal_record record, commit_need need);
+    awaitable<commit_result> commit(journal_record record, commit_policy need);
     void adoptView();
     void dropFamily(const program_id &id);
     bool isRunning(const running_call &call) const;
     awaitable<void> closeTooLarge(running_call call);
     void abandonCall(const running_call &call, commit_result begun);
     awaitable<void> perform(commit_action action);
-    awaitable<batch_answer> writeBatch(write_batch write);
-    awaitable<batch_answer> readBack(journal_batch batch);
-    void answerBatch(batch_answer answer);
+    awaitable<batch_outcome> writeBatch(write_batch write);
+    awaitable<batch_outcome> readBack(journal_batch batch);
+    void answerBatch(batch_outcome answer);
     void settleTickets(const commit_done &done);
 
     bool owns(const program_id &id) const;
--- a/src/daemon/control_calls.cpp
+++ b/src/daemon/control_calls.cpp
@@ -59,7 +59,7 @@
 {
     const member *me = m_membership.view().find(m_membership.self().daemon);
     return m_config && !m_draining && m_membership.isActive(runtime_clock::now())
-        && takesPrograms(*me) && m_loadedView == m_membership.view().number;
+        && acceptsPrograms(*me) && m_loadedView == m_membership.view().number;
 }
 
 std::optional<member> control::otherOwner(const program_id &id) const
@@ -106,7 +106,7 @@
         return makeRefusal(refusal_reason::StoreUnavailable, "the lease can't be renewed now",
                            retrySoon);
     }
-    if (!owns(id) || !m_history.heldSince(id, m_loadedView) || m_dropped.count(rootOf(id)) > 0)
+    if (!owns(id) || !m_history.ownedSince(id, m_loadedView) || m_dropped.count(rootOf(id)) > 0)
         return movesNow();
     return std::nullopt;
 }
@@ -161,7 +161,7 @@
     m_book.apply(created);
     m_scheduler.startProgram(makeProgramRequest(*m_book.find(id)), runtime_clock::now());
     const journal_record record = created;
-    const commit_result result = co_await commit(record, commit_need::Refusable);
+    const commit_result result = co_await commit(record, commit_policy::Refusable);
     if (result == commit_result::Durable)
         co_return id;
     m_book.erase(id);
@@ -182,7 +182,7 @@
     m_scheduler.endProgram(id, runtime_clock::now());
     performScheduled();
     const journal_record record = ended;
-    const commit_result result = co_await commit(record, commit_need::Kept);
+    const commit_result result = co_await commit(record, commit_policy::MustCommit);
     if (result == commit_result::Durable) {
         measureEnd(id);
         co_return tl::expected<void, refusal>();
@@ -200,7 +200,7 @@
         // A call of the program may be waiting for its replica: it begins, or not, before this one.
         if (const auto placing = m_placing.find(spec.request.program); placing != m_placing.end()) {
             const auto placed = placing->second;
-            co_await placed->waitPast(0);
+            co_await placed->waitForChangeSince(0);
             continue;
         }
         const auto decision = m_book.decide(spec.request, unixMilliseconds());
@@ -288,7 +288,7 @@
     m_book.apply(record);
     m_streams[record.program] = call.stream;
     const journal_record begun = record;
-    const commit_result result = co_await commit(begun, commit_need::Refusable);
+    const commit_result result = co_await commit(begun, commit_policy::Refusable);
     // The commit may have taken long: look at ownership and the lease again, immediately before the
     // effect.
     const auto stream = call.stream;
@@ -328,7 +328,7 @@
     if (begun == commit_result::Refused)
         return;
     std::vector<journal_record> records(1, journal_record(end));
-    m_batcher.append(std::move(records), commit_need::Kept, runtime_clock::now());
+    m_batcher.append(std::move(records), commit_policy::MustCommit, runtime_clock::now());
     m_commitTimer.cancel();
 }
 
@@ -347,7 +347,7 @@
     // The call may have moved to another engine before it ran.
     if (auto *finished = std::get_if<call_finished>(&end); finished && r.kind == call_kind::Model)
         finished->engine = call.placement.replica;
-    const commit_result result = co_await commit(end, commit_need::Kept);
+    const commit_result result = co_await commit(end, commit_policy::MustCommit);
     if (!isRunning(call))
         co_return result == commit_result::Durable;
     if (result == commit_result::Durable)
@@ -366,7 +366,7 @@
     // The answer is too large to be kept, so the caller is told that the call ran.
     const call_request &r = call.spec.request;
     const journal_record end = call_failed{r.program, r.turn, r.key, outcome::Ran, r.reserveTokens};
-    const commit_result result = co_await commit(end, commit_need::Kept);
+    const commit_result result = co_await commit(end, commit_policy::MustCommit);
     if (result == commit_result::Durable && isRunning(call))
         m_book.apply(end);
     else if (result != commit_result::Durable)
--- a/src/daemon/control_commits.cpp
+++ b/src/daemon/control_commits.cpp
@@ -7,7 +7,7 @@
 
 namespace azurehill {
 
-awaitable<commit_result> control::commit(journal_record record, commit_need need)
+awaitable<commit_result> control::commit(journal_record record, commit_policy need)
 {
     const auto wait = std::make_shared<commit_wait>();
     std::vector<journal_record> records;
@@ -20,7 +20,7 @@
     m_commitWaits.emplace(*ticket, wait);
     m_commitTimer.cancel();
     while (!wait->result)
-        co_await wait->changed.waitPast(wait->changed.version());
+        co_await wait->changed.waitForChangeSince(wait->changed.version());
     co_return *wait->result;
 }
 
@@ -81,7 +81,7 @@
         settleTickets(std::get<commit_done>(action));
 }
 
-void control::answerBatch(batch_answer answer)
+void control::answerBatch(batch_outcome answer)
 {
     for (commit_action &a : m_batcher.onAnswer(answer, runtime_clock::now()))
         m_commitActions.push_back(std::move(a));
@@ -99,7 +99,7 @@
     }
 }
 
-awaitable<batch_answer> control::writeBatch(write_batch write)
+awaitable<batch_outcome> control::writeBatch(write_batch write)
 {
     transaction t;
     t.checks.push_back({viewKey(), write.viewVersion});
@@ -107,28 +107,28 @@
     t.checks.push_back({t.puts.front().key, 0});
     auto written = co_await m_platform.transact(std::move(t));
     if (written)
-        co_return batch_answer::Written;
+        co_return batch_outcome::Written;
     if (written.error().kind == platform_error_kind::Unavailable)
-        co_return batch_answer::Unavailable;
+        co_return batch_outcome::Unavailable;
     if (written.error().kind != platform_error_kind::Conflict)
-        co_return batch_answer::Unknown;
+        co_return batch_outcome::Unknown;
     // Either the row is there from an earlier try, or the view has changed.
-    const batch_answer there = co_await readBack(std::move(write.batch));
-    if (there == batch_answer::Unavailable)
-        co_return batch_answer::Unknown;
-    if (there == batch_answer::Written)
+    const batch_outcome there = co_await readBack(std::move(write.batch));
+    if (there == batch_outcome::Unavailable)
+        co_return batch_outcome::Unknown;
+    if (there == batch_outcome::Written)
         co_return there;
     co_await refreshView();
-    co_return batch_answer::Fenced;
+    co_return batch_outcome::Fenced;
 }
 
-awaitable<batch_answer> control::readBack(journal_batch batch)
+awaitable<batch_outcome> control::readBack(journal_batch batch)
 {
     auto rows
         = co_await m_platform.read(std::vector<std::string>(1, rowKey(m_settings.cell, batch)));
     if (!rows)
-        co_return batch_answer::Unavailable;
-    co_return rows->empty() ? batch_answer::Absent : batch_answer::Written;
+        co_return batch_outcome::Unavailable;
+    co_return rows->empty() ? batch_outcome::Absent : batch_outcome::Written;
 }
 
 } // namespace azurehill
--- a/src/daemon/control_config.cpp
+++ b/src/daemon/control_config.cpp
@@ -46,14 +46,14 @@
 awaitable<std::optional<row_version>> control::readConfig()
 {
     const time_point sentAt = runtime_clock::now();
-    auto answer = co_await m_platform.readTimed(std::vector<std::string>(1, configKey()));
+    auto answer = co_await m_platform.readTimestamped(std::vector<std::string>(1, configKey()));
     if (!answer)
         co_return std::nullopt;
     const time_point now = runtime_clock::now();
     if (!answer->nowMs)
-        m_follower.onTime(now, unixMilliseconds(), calendarError);
+        m_follower.onTimeSample(now, unixMilliseconds(), calendarError);
     if (answer->rows.empty()) {
-        m_follower.onStore(sentAt, now, std::nullopt, answer->nowMs);
+        m_follower.onStoreRead(sentAt, now, std::nullopt, answer->nowMs);
         co_return row_version(0);
     }
     auto document = parseConfigDocument(answer->rows.front().value);
@@ -61,7 +61,7 @@
         logEvent(log_level::Error, "config_unreadable", {{"reason", document.error().reason}});
         co_return std::nullopt;
     }
-    m_follower.onStore(sentAt, now, std::move(*document), answer->nowMs);
+    m_follower.onStoreRead(sentAt, now, std::move(*document), answer->nowMs);
     useCurrentConfig();
     co_return answer->rows.front().version;
 }
@@ -100,26 +100,26 @@
         const auto response = co_await exchangeOnce(peer, std::move(request), sentAt + peerTimeout);
         if (!response || response->status != 200)
             continue;
-        auto answer = parsePeerConfig(response->body);
+        auto answer = parsePeerConfigResponse(response->body);
         if (!answer)
             continue;
-        m_follower.onPeer(sentAt, runtime_clock::now(), std::move(*answer));
+        m_follower.onPeerResponse(sentAt, runtime_clock::now(), std::move(*answer));
         if (m_follower.inForce(runtime_clock::now()))
             co_return;
     }
 }
 
-tl::expected<config_version, preset_doubt> control::configInForce() const
+tl::expected<config_version, preset_unavailable_reason> control::configInForce() const
 {
     return m_follower.inForce(runtime_clock::now());
 }
 
-tl::expected<preset, preset_doubt> control::presetInForce() const
+tl::expected<preset, preset_unavailable_reason> control::presetInForce() const
 {
     return configInForce().map([](const config_version &v) { return v.config->active(); });
 }
 
-std::optional<peer_config> control::configForPeer() const
+std::optional<peer_config_response> control::configForPeer() const
 {
     return m_follower.forPeer(runtime_clock::now());
 }
@@ -226,7 +226,7 @@
     if (!rows)
         co_return std::nullopt;
     const auto there = rows->empty()
-        ? tl::expected<config_version, config_fault>(tl::unexpected(config_fault{}))
+        ? tl::expected<config_version, config_error>(tl::unexpected(config_error{}))
         : parseConfigVersion(rows->front().value);
     co_return there && there->id == version.id;
 }
--- a/src/daemon/control_drain.cpp
+++ b/src/daemon/control_drain.cpp
@@ -19,7 +19,7 @@
 
 bool control::mayBegin(const program_id &id) const
 {
-    if (!m_draining && m_membership.staysHere(id))
+    if (!m_draining && m_membership.ownsWithoutPendingMove(id))
         return true;
     // A tool call may wait for its sub-agents: refusing their calls would hold the family for ever.
     return owns(id) && runningFamilies().count(rootOf(id)) > 0;
@@ -45,7 +45,7 @@
     // Without the table nothing can be handed over; once the lease has lapsed others take over.
     const auto mayHandOver = [this] { return m_membership.isActive(runtime_clock::now()); };
     while (!m_streams.empty() || !m_commitWaits.empty()
-           || (!m_membership.isEmptied() && mayHandOver()))
+           || (!m_membership.isDrained() && mayHandOver()))
         co_await sleepFor(drainStep);
     m_membership.leave();
     while (!m_membership.hasLeft() && mayHandOver())
--- a/src/daemon/control_membership.cpp
+++ b/src/daemon/control_membership.cpp
@@ -40,7 +40,7 @@
         co_await refreshView();
         co_await refreshLeases();
         stopIfSuperseded();
-        m_membership.setRefusing(m_heartbeats.refusing());
+        m_membership.setRunsRefusingConnections(m_heartbeats.refusing());
         m_membership.setRunning(runningFamilies());
         for (membership_action &action : m_membership.poll(runtime_clock::now()))
             co_await perform(std::move(action));
@@ -115,12 +115,12 @@
     for (const lease_check &check : change.checks)
         t.checks.push_back({leasePrefix() + check.daemon.value, check.version});
     t.puts.push_back({viewKey(), encode(change.next)});
-    for (const daemon_id &daemon : change.dropLeases)
+    for (const daemon_id &daemon : change.leasesToDelete)
         t.deletes.push_back(leasePrefix() + daemon.value);
     return t;
 }
 
-transaction control::toTransaction(const drop_lease &drop) const
+transaction control::toTransaction(const delete_lease &drop) const
 {
     transaction t;
     t.checks.push_back({leasePrefix() + drop.lease.daemon.value, drop.lease.version});
@@ -181,7 +181,7 @@
     m_dropped.clear();
     std::set<program_id> known;
     for (const program_id &id : programIds()) {
-        if (m_history.heldSince(id, m_loadedView))
+        if (m_history.ownedSince(id, m_loadedView))
             known.insert(id);
         else
             m_book.erase(id);
@@ -194,7 +194,7 @@
         }
     }
     m_loadedView = number;
-    m_membership.onLoaded(number);
+    m_membership.onProgramsLoaded(number);
     logEvent(log_level::Info, "view_loaded",
              {{"number", static_cast<std::int64_t>(number)},
               {"read_journals", reads},
@@ -218,7 +218,7 @@
     for (const journal_record &record : records) {
         m_book.apply(record);
         std::vector<journal_record> one(1, record);
-        m_batcher.append(std::move(one), commit_need::Kept, runtime_clock::now());
+        m_batcher.append(std::move(one), commit_policy::MustCommit, runtime_clock::now());
     }
     m_commitTimer.cancel();
     co_return;
--- a/src/daemon/control_release.cpp
+++ b/src/daemon/control_release.cpp
@@ -112,7 +112,7 @@
     // Applied before it is durable: at worst a successor sends the order once more.
     const journal_record record = program_released{order.program, order.engine};
     std::vector<journal_record> records(1, record);
-    if (m_batcher.append(std::move(records), commit_need::Kept, runtime_clock::now()))
+    if (m_batcher.append(std::move(records), commit_policy::MustCommit, runtime_clock::now()))
         m_book.apply(record);
     m_commitTimer.cancel();
 }
--- a/src/daemon/control_scheduling.cpp
+++ b/src/daemon/control_scheduling.cpp
@@ -108,7 +108,7 @@
     m_scheduler.submit(std::move(call), runtime_clock::now());
     performScheduled();
     while (!wait->answer)
-        co_await wait->changed.waitPast(wait->changed.version());
+        co_await wait->changed.waitForChangeSince(wait->changed.version());
     m_placing.erase(id);
     placed->notifyAll();
     if (*wait->answer)
--- a/src/daemon/operator_answers.cpp
+++ b/src/daemon/operator_answers.cpp
@@ -21,7 +21,8 @@
     return p.ended ? toName(*p.ended) : std::string_view("running");
 }
 
-void tellDecision(json::object &into, const tl::expected<config_version, preset_doubt> &decided)
+void tellDecision(json::object &into,
+                  const tl::expected<config_version, preset_unavailable_reason> &decided)
 {
     if (decided) {
         into["in_force_version"] = decided->number;
@@ -75,8 +76,9 @@
     return listResponse("upstreams", std::move(list));
 }
 
-http_response presetsResponse(const config_version &head,
-                              const tl::expected<config_version, preset_doubt> &decided)
+http_response
+presetsResponse(const config_version &head,
+                const tl::expected<config_version, preset_unavailable_reason> &decided)
 {
     const json::value document = json::parse(toText(*head.config));
     json::array list;
@@ -94,7 +96,7 @@
 }
 
 http_response configResponse(const config_version &head,
-                             const tl::expected<config_version, preset_doubt> &decided)
+                             const tl::expected<config_version, preset_unavailable_reason> &decided)
 {
     json::object answer = json::parse(toText(head)).as_object();
     tellDecision(answer, decided);
@@ -118,10 +120,10 @@
                                                      {"activate_ms", version.activateMs}}));
 }
 
-http_response faultsResponse(const std::vector<config_fault> &faults)
+http_response faultsResponse(const std::vector<config_error> &faults)
 {
     json::array list;
-    for (const config_fault &f : faults)
+    for (const config_error &f : faults)
         list.push_back({{"path", f.path}, {"reason", f.reason}});
     return jsonResponse(422, json::serialize(json::object{{"faults", list}}));
 }
--- a/src/daemon/pass_through.cpp
+++ b/src/daemon/pass_through.cpp
@@ -70,11 +70,11 @@
         = co_await connection->connect(place.address, runtime_clock::now() + connectLimit);
     if (!connected)
         co_return connected.error();
-    auto head = co_await connection->sendAndReadHead(std::move(request),
-                                                     runtime_clock::now() + place.limits.callLimit);
+    auto head = co_await connection->sendAndReadHead(
+        std::move(request), runtime_clock::now() + place.limits.callTimeout);
     if (!head)
         co_return head.error();
-    co_await relayResponse(*connection, std::move(*head), writer, place.limits.silenceLimit);
+    co_await relayResponse(*connection, std::move(*head), writer, place.limits.streamIdleTimeout);
     co_return std::nullopt;
 }
 
@@ -94,7 +94,7 @@
 }
 
 awaitable<void> relayResponse(http_connection &connection, response_head head,
-                              response_writer &writer, duration silenceLimit)
+                              response_writer &writer, duration streamIdleTimeout)
 {
     header_list headers = endToEnd(head.headers);
     constexpr int noContent = 204;
@@ -106,7 +106,7 @@
     }
     bool open = co_await writer.begin(head.status, std::move(headers));
     while (open) {
-        const auto piece = co_await connection.readSome(runtime_clock::now() + silenceLimit);
+        const auto piece = co_await connection.readSome(runtime_clock::now() + streamIdleTimeout);
         if (!piece)
             co_return;
         if (piece->empty())
--- a/src/daemon/settings.cpp
+++ b/src/daemon/settings.cpp
@@ -46,10 +46,10 @@
 void readCommit(option_reader &in, commit_settings &commit)
 {
     commit.interval = in.time("commit-interval-ms", 1, longestTimeMs);
-    commit.firstRetry = in.time("commit-first-retry-ms", 1, longestTimeMs);
-    commit.longestRetry = in.time("commit-longest-retry-ms", 1, longestTimeMs);
+    commit.initialRetryDelay = in.time("commit-first-retry-ms", 1, longestTimeMs);
+    commit.maxRetryDelay = in.time("commit-longest-retry-ms", 1, longestTimeMs);
     commit.maxRecords = static_cast<std::size_t>(in.number("commit-max-records", 1, 100'000));
-    if (commit.longestRetry < commit.firstRetry)
+    if (commit.maxRetryDelay < commit.initialRetryDelay)
         in.addFault("commit-longest-retry-ms", "must not be under --commit-first-retry-ms");
 }
 
@@ -84,7 +84,7 @@
     s.trafficThreads = static_cast<int>(in.number("traffic-threads", 1, 64));
     s.logLevel = in.enumerator<log_level>("log-level");
     s.lease.ttl = in.time("lease-ttl-ms", 500, longestTimeMs);
-    s.lease.renewEvery = s.lease.ttl / 3;
+    s.lease.renewalInterval = s.lease.ttl / 3;
     s.lease.margin = s.lease.ttl / 10;
     readCommit(in, s.commit);
     readLimits(in, s.limits);
--- a/src/daemon/upstream_call.cpp
+++ b/src/daemon/upstream_call.cpp
@@ -100,7 +100,7 @@
     time_point before;
     while (true) {
         const auto bytes
-            = co_await connection.readSome(runtime_clock::now() + call.limits.silenceLimit);
+            = co_await connection.readSome(runtime_clock::now() + call.limits.streamIdleTimeout);
         if (!bytes) {
             end.error = bytes.error();
             co_return end;
@@ -192,7 +192,7 @@
         co_return failed(connected.error());
     http_request request = modelRequest(call);
     const auto head = co_await connection.sendAndReadHead(
-        std::move(request), runtime_clock::now() + call.limits.callLimit);
+        std::move(request), runtime_clock::now() + call.limits.callTimeout);
     if (!head)
         co_return failed(head.error());
     if (head->status != 200)
@@ -210,7 +210,7 @@
     http_request request = call.spec.passOn;
     addCallHeaders(request, call.spec.request);
     auto response = co_await connection.exchange(std::move(request),
-                                                 runtime_clock::now() + call.limits.callLimit);
+                                                 runtime_clock::now() + call.limits.callTimeout);
     if (!response)
         co_return failed(response.error());
     if (response->status == 503 && response->headers.get(didNotRunHeader) == "true") {
--- a/src/entry/engine_admission.cpp
+++ b/src/entry/engine_admission.cpp
@@ -36,21 +36,21 @@
 }
 
 void logAdmission(const entry_call &call, const admission_request &ticket,
-                  const concurrency_limiter &gate, bool granted, duration waited)
+                  const concurrency_limiter &serviceLimiter, bool granted, duration waited)
 {
-    logDecision(granted ? log_event::PlaceGranted : log_event::PlaceNotGranted,
+    logDecision(granted ? log_event::RequestAdmitted : log_event::RequestNotAdmitted,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
                  {"previous", call.request.previousTurn.value},
                  {"rank", std::int64_t(ticket.rank)},
                  {"hope", std::string(toName(ticket.feasibility))},
                  {"left_ms", toMilliseconds(call.deadline - runtime_clock::now())},
-                 {"waiting", std::int64_t(gate.queued())},
-                 {"inside", std::int64_t(gate.inFlight())},
-                 {"limit", gate.limit()},
-                 {"replicas", std::int64_t(gate.engineCapacity().replicas)},
-                 {"part", gate.limitShare()},
-                 {"inflation", gate.inflation()},
+                 {"waiting", std::int64_t(serviceLimiter.queued())},
+                 {"inside", std::int64_t(serviceLimiter.inFlight())},
+                 {"limit", serviceLimiter.limit()},
+                 {"replicas", std::int64_t(serviceLimiter.engineCapacity().replicas)},
+                 {"part", serviceLimiter.limitShare()},
+                 {"inflation", serviceLimiter.inflation()},
                  {"waited_ms", toMilliseconds(waited)}});
 }
 
@@ -77,24 +77,24 @@
 
 void engine_admission::addService(const std::string &service)
 {
-    if (m_mechanisms.has(mechanism::EngineGate))
-        m_gates.try_emplace(service, m_mechanisms);
+    if (m_mechanisms.has(mechanism::EngineAdmission))
+        m_serviceLimiters.try_emplace(service, m_mechanisms);
 }
 
-void engine_admission::update(const replica_load_balancer &board, time_point now)
+void engine_admission::update(const replica_load_balancer &loadBalancer, time_point now)
 {
-    for (auto &[name, gate] : m_gates) {
-        gate.setEngineCapacity(
-            {board.availableReplicas(name, now), board.availableSlots(name, now)});
-        grant(gate);
+    for (auto &[name, serviceLimiter] : m_serviceLimiters) {
+        serviceLimiter.setEngineCapacity(
+            {loadBalancer.availableReplicas(name, now), loadBalancer.availableSlots(name, now)});
+        grant(serviceLimiter);
     }
 }
 
 concurrency_reports engine_admission::makeReports()
 {
     concurrency_reports reports;
-    for (auto &[name, gate] : m_gates) {
-        const concurrency_report report = gate.publishReport();
+    for (auto &[name, serviceLimiter] : m_serviceLimiters) {
+        const concurrency_report report = serviceLimiter.publishReport();
         // Services without demand at this daemon are left out to keep the message small.
         if (report.demand > 0)
             reports.emplace(name, report);
@@ -105,15 +105,15 @@
 void engine_admission::mergeReports(const std::vector<concurrency_reports> &reports,
                                     std::size_t otherDaemons)
 {
-    for (auto &[name, gate] : m_gates) {
+    for (auto &[name, serviceLimiter] : m_serviceLimiters) {
         const std::vector<concurrency_report> serviceReports = reportsOf(reports, name);
-        gate.mergeReports({serviceReports, otherDaemons});
+        serviceLimiter.mergeReports({serviceReports, otherDaemons});
     }
 }
 
-void engine_admission::grant(concurrency_limiter &gate)
+void engine_admission::grant(concurrency_limiter &serviceLimiter)
 {
-    for (const std::uint64_t number : gate.admitQueued()) {
+    for (const std::uint64_t number : serviceLimiter.admitQueued()) {
         const auto found = m_waiting.find(number);
         if (found == m_waiting.end())
             continue;
@@ -124,13 +124,13 @@
 
 awaitable<bool> engine_admission::admit(entry_call_ptr call, program_timing times)
 {
-    const auto found = m_gates.find(call->service);
-    if (found == m_gates.end())
+    const auto found = m_serviceLimiters.find(call->service);
+    if (found == m_serviceLimiters.end())
         co_return true;
-    concurrency_limiter &gate = found->second;
+    concurrency_limiter &serviceLimiter = found->second;
     admission_request ticket = admissionTicketOf(*call, times);
     ticket.number = ++m_lastTicket;
-    if (gate.tryAdmit(ticket)) {
+    if (serviceLimiter.tryAdmit(ticket)) {
         call->holdsEngineSlot = true;
         co_return true;
     }
@@ -143,10 +143,10 @@
     co_await wait->waitTimer.async_wait(asio::redirect_error(use_awaitable, code));
     call->admissionTimer = nullptr;
     m_waiting.erase(ticket.number);
-    gate.cancelWait(ticket.number);
+    serviceLimiter.cancelWait(ticket.number);
     call->holdsEngineSlot = wait->granted;
     const duration waited = runtime_clock::now() - began;
-    logAdmission(*call, ticket, gate, wait->granted, waited);
+    logAdmission(*call, ticket, serviceLimiter, wait->granted, waited);
     m_metrics.onPhase(call->route->name, request_phase::Admission, waited);
     if (call->clientDisconnected())
         release(*call);
@@ -155,18 +155,19 @@
 
 void engine_admission::release(entry_call &call)
 {
-    const auto gate = m_gates.find(call.service);
-    if (!std::exchange(call.holdsEngineSlot, false) || gate == m_gates.end())
+    const auto serviceLimiter = m_serviceLimiters.find(call.service);
+    if (!std::exchange(call.holdsEngineSlot, false) || serviceLimiter == m_serviceLimiters.end())
         return;
-    gate->second.release();
-    grant(gate->second);
+    serviceLimiter->second.release();
+    grant(serviceLimiter->second);
 }
 
 void engine_admission::onEventInterval(const std::string &service, double msPerEvent,
                                        time_point now)
 {
-    if (const auto gate = m_gates.find(service); gate != m_gates.end())
-        gate->second.onEventInterval(msPerEvent, now);
+    if (const auto serviceLimiter = m_serviceLimiters.find(service);
+        serviceLimiter != m_serviceLimiters.end())
+        serviceLimiter->second.onEventInterval(msPerEvent, now);
 }
 
 } // namespace azurehill
--- a/src/entry/engine_admission.h
+++ b/src/entry/engine_admission.h
@@ -23,7 +23,7 @@
     void addService(const std::string &service);
     /// \brief Updates how many replicas may take requests, and admits requests for which capacity
     /// became free.
-    void update(const replica_load_balancer &board, time_point now);
+    void update(const replica_load_balancer &loadBalancer, time_point now);
     /// \returns this daemon's admission report for the other daemons. To be called once per gossip
     /// round.
     concurrency_reports makeReports();
@@ -50,12 +50,12 @@
         bool granted = false;
     };
 
-    void grant(concurrency_limiter &gate);
+    void grant(concurrency_limiter &serviceLimiter);
 
     asio::any_io_executor m_executor;
     mechanism_set m_mechanisms;
     entry_metrics &m_metrics;
-    std::map<std::string, concurrency_limiter, std::less<>> m_gates;
+    std::map<std::string, concurrency_limiter, std::less<>> m_serviceLimiters;
     std::map<std::uint64_t, std::shared_ptr<queued_request>> m_waiting;
     std::uint64_t m_lastTicket = 0;
 };
--- a/src/entry/entry_call.h
+++ b/src/entry/entry_call.h
@@ -37,7 +37,7 @@
     /// Path of the request.
     std::string path;
     /// The account of the request's key, part of \c routes, or null.
-    const account_rule *account = nullptr;
+    const account_config *account = nullptr;
     request_rank rank;
     std::string service;
     time_point arrivedAt;
--- a/src/entry/entry_control.cpp
+++ b/src/entry/entry_control.cpp
@@ -157,7 +157,7 @@
     const time_point until = std::min(storeCallDeadline(), deadline);
     const auto done = co_await m_store.transact(std::move(t), until);
     if (!done)
-        logDecision(log_event::NotUnregistered, {{"detail", done.error().detail}});
+        logDecision(log_event::DeregistrationFailed, {{"detail", done.error().detail}});
 }
 
 http_response entry_control::answerLookup()
@@ -181,27 +181,27 @@
     std::vector<endpoint> &chosen
         = reachingStore.size() * maxServingPerReaching >= serving.size() ? reachingStore : serving;
     if (chosen.empty())
-        return encodeOwnAnswer(local_reply::Refused, "no daemon serves", retryInterval);
+        return encodeLocalReply(local_reply::Refused, "no daemon serves", retryInterval);
     // A random selection each time: in a system with more daemons than an answer holds, the first
     // by name would otherwise get all new callers, while everything else is divided among all
     // daemons.
     std::shuffle(chosen.begin(), chosen.end(), m_random);
     if (chosen.size() > maxAddresses)
         chosen.resize(maxAddresses);
-    return encodeAddresses(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
+    return encodeLookupReply(chosen, std::min<duration>(lookupTtl, m_settings.lookupTtl));
 }
 
 awaitable<void> entry_control::handleRequest(const http_request &request, response_writer &writer)
 {
     http_response response;
-    if (isLookup(request.path())) {
+    if (isLookupPath(request.path())) {
         response = answerLookup();
-    } else if (isReadinessCheck(request.path())) {
+    } else if (isReadinessPath(request.path())) {
         const bool ready = m_membership.self().serving;
         response = ready ? jsonResponse(200, "{}")
-                         : encodeOwnAnswer(local_reply::Refused, "not ready", retryInterval);
+                         : encodeLocalReply(local_reply::Refused, "not ready", retryInterval);
     } else {
-        response = encodeOwnAnswer(local_reply::NoRoute, "", {});
+        response = encodeLocalReply(local_reply::NoRoute, "", {});
     }
     co_await writer.write(std::move(response));
 }
@@ -215,7 +215,7 @@
     else if (replica_discovery::isChangesRequest(request))
         response = m_replicas.serveChanges(request);
     else
-        response = encodeOwnAnswer(local_reply::NoRoute, "", {});
+        response = encodeLocalReply(local_reply::NoRoute, "", {});
     co_await writer.write(std::move(response));
 }
 
@@ -438,8 +438,8 @@
 
 void entry_control::forwardPeerReports() const
 {
-    m_events.onAdmissionReports(m_membership.demandReportsHeard());
-    std::vector<replica_reports> reports = m_membership.replicaReportsHeard();
+    m_events.onAdmissionReports(m_membership.receivedDemandReports());
+    std::vector<replica_reports> reports = m_membership.receivedReplicaReports();
     if (!reports.empty() && m_events.onReplicaReports)
         m_events.onReplicaReports(std::move(reports));
 }
--- a/src/entry/entry_options.cpp
+++ b/src/entry/entry_options.cpp
@@ -63,7 +63,7 @@
         options.fault = fmt::format("metrics port {}: must be 0 to {}", port, largestPort);
     }
     const char *offList = without ? without : std::getenv(withoutVariable);
-    const std::string unknown = switchOffByName(options.mechanisms, offList ? offList : "");
+    const std::string unknown = disableByName(options.mechanisms, offList ? offList : "");
     std::free(without);
     if (!unknown.empty() && options.fault.empty())
         options.fault = fmt::format("--without {}: no such mechanism", unknown);
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -68,10 +68,10 @@
       m_store(m_transport), m_pacedStore(m_executor, m_store, settings.mechanisms),
       m_ledger(m_pacedStore, ledgerSettings(settings)),
       m_credits(m_executor, m_pacedStore, settings.quota),
-      m_board(settings.dataCentre, stableHash(settings.name.value), settings.mechanisms),
-      m_sender(m_executor, m_board, metrics),
+      m_loadBalancer(settings.dataCentre, stableHash(settings.name.value), settings.mechanisms),
+      m_sender(m_executor, m_loadBalancer, metrics),
       m_engineAdmission(m_executor, settings.mechanisms, metrics), m_localReplies(metrics),
-      m_relay(m_sender, m_board, m_engineAdmission, m_localReplies, metrics),
+      m_relay(m_sender, m_loadBalancer, m_engineAdmission, m_localReplies, metrics),
       m_turns(m_executor, m_ledger, m_engineAdmission, m_sender, m_relay, m_localReplies, metrics),
       m_server(m_executor, limitsOf(settings, {}),
                [this](const http_request &r, response_writer &w) { return serve(r, w); })
@@ -81,8 +81,8 @@
 {
     m_pacedStore.setRates(m_settings.storeWritesPerSecond, m_daemons);
     m_pacedStore.setMerging(m_settings.storeSpansParts
-                            && m_settings.mechanisms.has(mechanism::MergedWrites));
-    spawn(m_executor, "watchOutages", m_store.watchOutages());
+                            && m_settings.mechanisms.has(mechanism::BatchedWrites));
+    spawn(m_executor, "watchOutages", m_store.probeDuringOutages());
     spawn(m_executor, "sweep", sweep());
     spawn(m_executor, "removeOldRows", removeExpiredRows());
     const bool canLend = m_credits.start(m_settings.credits) != 0;
@@ -103,20 +103,20 @@
     for (const service_rule &service : m_routes->services()) {
         if (!service.engine)
             continue;
-        m_board.setCacheTokens(service.name, service.engine->cacheTokens);
+        m_loadBalancer.setCacheTokens(service.name, service.engine->cacheTokens);
         m_engineAdmission.addService(service.name);
     }
 }
 
 void entry_service::setReplicas(const std::vector<replica_entry> &listed)
 {
-    for (const replica_entry &ended : m_board.setReplicas(listed, runtime_clock::now()))
+    for (const replica_entry &ended : m_loadBalancer.setReplicas(listed, runtime_clock::now()))
         m_sender.dropConnections(ended);
 }
 
 void entry_service::setPeers(std::vector<endpoint> reachingStore, int alive)
 {
-    m_board.setDaemons(alive);
+    m_loadBalancer.setDaemons(alive);
     m_daemons = alive;
     m_pacedStore.setRates(m_settings.storeWritesPerSecond, alive);
     m_transport->setPeers(std::move(reachingStore));
@@ -141,9 +141,9 @@
         const time_point now = runtime_clock::now();
         m_sender.sweep(now);
         m_ledger.expire(now);
-        m_engineAdmission.update(m_board, now);
+        m_engineAdmission.update(m_loadBalancer, now);
         publishReports(now);
-        m_metrics.setEjectedReplicas(m_board.ejectedReplicas());
+        m_metrics.setEjectedReplicas(m_loadBalancer.ejectedReplicas());
         co_await sleepFor(sweepInterval);
     }
 }
@@ -155,7 +155,7 @@
 
 void entry_service::mergeReplicaReports(const std::vector<replica_reports> &reports)
 {
-    m_board.mergeReports(reports, runtime_clock::now());
+    m_loadBalancer.mergeReports(reports, runtime_clock::now());
 }
 
 void entry_service::publishReports(time_point now)
@@ -165,7 +165,7 @@
     m_reportsPublishedAt = now;
     m_publishAdmissionReport(m_engineAdmission.makeReports());
     if (m_publishReplicaReport)
-        m_publishReplicaReport(m_board.recentReports(now));
+        m_publishReplicaReport(m_loadBalancer.recentReports(now));
 }
 
 std::string entry_service::pickService(const route_rule &route)
@@ -196,7 +196,7 @@
     if (decoded && m_routes)
         call->route = m_routes->find(call->request.hostname, call->path);
     if (call->route)
-        allowed = judgeAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
+        allowed = checkAccess(m_routes->accounts(), call->route->isPublic, call->request.key);
     if (!decoded) {
         detail = std::move(decoded.error());
     } else if (!m_routes) {
@@ -258,7 +258,7 @@
     if (!call->account || !call->account->quota)
         co_return true;
     const bool isProgramStart = call->route->keepsHistory && call->request.previousTurn.empty();
-    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::GoOn;
+    const credit_use use = isProgramStart ? credit_use::Begin : credit_use::Continue;
     account_id account = call->accountName();
     const time_point began = runtime_clock::now();
     const auto waitLimit
@@ -336,7 +336,8 @@
             co_return;
         }
         m_sender.finish(*call, *reply, send_outcome::Answered);
-        http_response response{reply->head.status, replyHeaders(reply->head), std::move(answer)};
+        http_response response{reply->head.status, clientReplyHeaders(reply->head),
+                               std::move(answer)};
         co_await writer.write(std::move(response));
         co_return;
     }
--- a/src/entry/entry_service.h
+++ b/src/entry/entry_service.h
@@ -85,7 +85,7 @@
     paced_store m_pacedStore;
     turn_ledger m_ledger;
     credit_exchange m_credits;
-    replica_load_balancer m_board;
+    replica_load_balancer m_loadBalancer;
     upstream_sender m_sender;
     engine_admission m_engineAdmission;
     local_reply_writer m_localReplies;
--- a/src/entry/local_reply_writer.cpp
+++ b/src/entry/local_reply_writer.cpp
@@ -20,7 +20,7 @@
                                           duration retryAfter)
 {
     logDecision(
-        log_event::OwnAnswer,
+        log_event::LocalReply,
         {{"request", call->request.id},
          {"program", call->request.program.value},
          {"previous", call->request.previousTurn.value},
@@ -34,7 +34,7 @@
     // Only the text before a colon becomes a label: what follows are figures, which would create a
     // time series each.
     m_metrics.onAnswer(toName(answer), std::string_view(detail).substr(0, detail.find(':')));
-    http_response response = encodeOwnAnswer(answer, detail, retryAfter);
+    http_response response = encodeLocalReply(answer, detail, retryAfter);
     call->isLocalReply = true;
     co_await writer.write(std::move(response));
 }
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -143,7 +143,7 @@
     fmt::print(file, "{} {} {} {}\n", clientPort, ports.readiness, ports.lookups, ports.peers);
     file.close();
     if (!file || std::rename(temporaryPath.c_str(), path.c_str()) != 0)
-        logDecision(log_event::CantListen, {{"detail", "can't write " + path}});
+        logDecision(log_event::ListenFailed, {{"detail", "can't write " + path}});
 }
 
 awaitable<void> answerMetrics(entry_metrics &metrics, const entry_control &control,
@@ -206,12 +206,12 @@
                                   return answerMetrics(metrics, control, request, writer);
                               });
     if (options.metricsPort != 0 && metricsServer.listen({s.ip, options.metricsPort}) == 0)
-        logDecision(log_event::CantListen,
+        logDecision(log_event::ListenFailed,
                     {{"ip", s.ip}, {"port", std::int64_t(options.metricsPort)}});
     const std::uint16_t clientPort = service.start();
     const auto ports = control.start();
     if (clientPort == 0 || !ports) {
-        logDecision(log_event::CantListen, {{"ip", s.ip}});
+        logDecision(log_event::ListenFailed, {{"ip", s.ip}});
         return exitCantListen;
     }
     asio::signal_set signals(controlContext, SIGTERM, SIGINT);
@@ -227,8 +227,9 @@
     spawn(controlContext.get_executor(), "watchSettings", watchSettings(watch));
     if (!options.portFile.empty())
         writePorts(options.portFile, clientPort, *ports);
-    logDecision(log_event::Started,
-                {{"daemon", s.name.value}, {"ip", s.ip}, {"without", s.mechanisms.offNames()}});
+    logDecision(
+        log_event::Started,
+        {{"daemon", s.name.value}, {"ip", s.ip}, {"without", s.mechanisms.disabledNames()}});
     const auto keepTraffic = asio::make_work_guard(trafficContext);
     std::thread traffic([&] { trafficContext.run(); });
     controlContext.run();
--- a/src/entry/replica_discovery.cpp
+++ b/src/entry/replica_discovery.cpp
@@ -75,7 +75,7 @@
 bool replica_discovery::shouldReadTable()
 {
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_random);
-    if (!m_mechanisms.has(mechanism::TableTurns))
+    if (!m_mechanisms.has(mechanism::SharedTablePolling))
         return true;
     const auto age = m_table.age(runtime_clock::now());
     if (age)
@@ -143,7 +143,7 @@
     const bool reachable = m_transport->isDirectWorking();
     if (reachable == m_storeWasReachable)
         return;
-    logDecision(reachable ? log_event::StoreRegained : log_event::StoreLost,
+    logDecision(reachable ? log_event::StoreRecovered : log_event::StoreUnreachable,
                 {{"detail", m_transport->lastDirectFailure()}});
     m_storeWasReachable = reachable;
 }
--- a/src/entry/request_rank.cpp
+++ b/src/entry/request_rank.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-request_rank rankOf(const account_rule *account, const route_rule &route)
+request_rank rankOf(const account_config *account, const route_rule &route)
 {
     const int routePriority = std::max(0, route.priority);
     if (!account)
--- a/src/entry/request_rank.h
+++ b/src/entry/request_rank.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "accounts/account_rule.h"
+#include "accounts/account_config.h"
 #include "routes/routes.h"
 
 namespace azurehill {
@@ -16,6 +16,6 @@
 
 /// \returns the rank of requests of \p account, which may be null, on \p route. The account's
 /// priority takes precedence over the route's.
-request_rank rankOf(const account_rule *account, const route_rule &route);
+request_rank rankOf(const account_config *account, const route_rule &route);
 
 } // namespace azurehill
--- a/src/entry/response_relay.cpp
+++ b/src/entry/response_relay.cpp
@@ -38,11 +38,11 @@
 
 } // namespace
 
-response_relay::response_relay(upstream_sender &sender, replica_load_balancer &board,
+response_relay::response_relay(upstream_sender &sender, replica_load_balancer &loadBalancer,
                                engine_admission &admission, local_reply_writer &localReplies,
                                entry_metrics &metrics)
-    : m_sender(sender), m_board(board), m_engineAdmission(admission), m_localReplies(localReplies),
-      m_metrics(metrics)
+    : m_sender(sender), m_loadBalancer(loadBalancer), m_engineAdmission(admission),
+      m_localReplies(localReplies), m_metrics(metrics)
 { }
 
 awaitable<bool> response_relay::readBody(entry_call_ptr call, open_reply &reply, std::string &body)
@@ -62,7 +62,7 @@
 awaitable<void> response_relay::relayRemainder(entry_call_ptr call, open_reply &reply,
                                                std::string prefix, response_writer &writer)
 {
-    header_list headers = replyHeaders(reply.head);
+    header_list headers = clientReplyHeaders(reply.head);
     call->responseStarted = true;
     bool isClientConnected = co_await writer.begin(reply.head.status, std::move(headers));
     bool isComplete = false;
@@ -95,7 +95,7 @@
         co_await m_localReplies.replyWithFailure(call, broken, writer);
         co_return;
     }
-    http_response response{reply.head.status, replyHeaders(reply.head), std::move(body)};
+    http_response response{reply.head.status, clientReplyHeaders(reply.head), std::move(body)};
     co_await writer.write(std::move(response));
 }
 
@@ -136,7 +136,7 @@
                                                      response_writer &writer)
 {
     stream_result stream;
-    header_list headers = replyHeaders(reply.head);
+    header_list headers = clientReplyHeaders(reply.head);
     call->responseStarted = true;
     call->lastEventId = call->request.lastEventId;
     stream.isClientConnected = co_await writer.begin(reply.head.status, std::move(headers));
@@ -163,7 +163,7 @@
             firstAt = call->lastByteAt;
             m_metrics.onPhase(call->route->name, request_phase::FirstByte, *firstAt - call->sentAt);
         }
-        m_board.onBytesReceived(reply.where.replica.incarnation, call->lastByteAt);
+        m_loadBalancer.onBytesReceived(reply.where.replica.incarnation, call->lastByteAt);
         const std::string bytes = parseChunk(*call, events, *chunk, stream);
         if (!bytes.empty())
             stream.isClientConnected = co_await writer.writeChunk(bytes);
--- a/src/entry/response_relay.h
+++ b/src/entry/response_relay.h
@@ -28,7 +28,7 @@
     /// client, so that the request can be retried at another replica if the answer breaks off.
     static constexpr std::size_t maxBufferedBytes = 256U << 10U;
 
-    response_relay(upstream_sender &sender, replica_load_balancer &board,
+    response_relay(upstream_sender &sender, replica_load_balancer &loadBalancer,
                    engine_admission &admission, local_reply_writer &localReplies,
                    entry_metrics &metrics);
 
@@ -63,7 +63,7 @@
     void recordEventInterval(const entry_call &call, std::int64_t events, time_point firstAt);
 
     upstream_sender &m_sender;
-    replica_load_balancer &m_board;
+    replica_load_balancer &m_loadBalancer;
     engine_admission &m_engineAdmission;
     local_reply_writer &m_localReplies;
     entry_metrics &m_metrics;
--- a/src/entry/turn_handler.cpp
+++ b/src/entry/turn_handler.cpp
@@ -309,7 +309,7 @@
     // One further event may have reached the client in part.
     settle(context,
            std::min(context.claim.maxOutputTokens, (stream.events + 1) * tokensPerEvent(call)));
-    logDecision(log_event::TurnBrokeOff,
+    logDecision(log_event::TurnInterrupted,
                 {{"request", call.request.id},
                  {"program", call.request.program.value},
                  {"replica", call.replica.id.value},
@@ -347,7 +347,7 @@
     if (!context.call->request.tokenBudget)
         return;
     const account_view account = m_ledger.accountView(context.claim.program);
-    logDecision(log_event::TokensHeld,
+    logDecision(log_event::TokensReserved,
                 {{"request", context.call->request.id},
                  {"program", context.claim.program.value},
                  {"most", context.claim.maxOutputTokens},
--- a/src/entry/upstream_sender.cpp
+++ b/src/entry/upstream_sender.cpp
@@ -33,10 +33,11 @@
 /// Lowest HTTP status that means that the replica failed.
 constexpr int minFailureStatus = 500;
 
-duration attemptTimeout(const entry_call &call, const replica_load_balancer &board, time_point now)
+duration attemptTimeout(const entry_call &call, const replica_load_balancer &loadBalancer,
+                        time_point now)
 {
     const duration minEvenFraction = (call.deadline - now) / attemptsPerDeadline;
-    const auto typical = board.typicalFirstByteTime(call.service);
+    const auto typical = loadBalancer.typicalFirstByteTime(call.service);
     const duration preferred
         = typical ? std::max<duration>(2 * *typical, minAttemptTimeout) : minEvenFraction;
     return std::min(preferred, std::max<duration>(minEvenFraction, minAttemptTimeout));
@@ -73,8 +74,8 @@
 }
 
 upstream_sender::upstream_sender(const asio::any_io_executor &executor,
-                                 replica_load_balancer &board, entry_metrics &metrics)
-    : m_executor(executor), m_board(board), m_metrics(metrics),
+                                 replica_load_balancer &loadBalancer, entry_metrics &metrics)
+    : m_executor(executor), m_loadBalancer(loadBalancer), m_metrics(metrics),
       m_pool(executor, maxIdle, maxIdlePerReplica)
 { }
 
@@ -82,8 +83,8 @@
 {
     if (call.route->kind != route_kind::Stream)
         return false;
-    const time_point lastActivity = std::max(
-        {call.lastByteAt, call.sentAt, call.replicaAliveAt, m_board.lastReceivedAt(call.replica)});
+    const time_point lastActivity = std::max({call.lastByteAt, call.sentAt, call.replicaAliveAt,
+                                              m_loadBalancer.lastReceivedAt(call.replica)});
     return now - lastActivity > std::max<duration>(silenceTimeout, 2 * call.route->maxEventGap);
 }
 
@@ -94,7 +95,7 @@
     const route_rule *const route = m_routes->find(call.request.hostname, call.path);
     if (!route)
         return false;
-    const access current = judgeAccess(m_routes->accounts(), route->isPublic, call.request.key);
+    const access current = checkAccess(m_routes->accounts(), route->isPublic, call.request.key);
     const account_id holder = current.account ? current.account->name : account_id();
     return current.verdict == access_verdict::Allowed && holder == call.accountName();
 }
@@ -133,7 +134,7 @@
         = co_await connection.connect(address, runtime_clock::now() + connectTimeout);
     const time_point now = runtime_clock::now();
     m_probedReplicas.erase(who);
-    logDecision(log_event::SilenceChecked,
+    logDecision(log_event::SilentReplicaProbed,
                 {{"replica", who.id.value}, {"alive", connected.has_value()}});
     const std::set<entry_call_ptr> calls = m_inFlight;
     for (const entry_call_ptr &call : calls) {
@@ -163,7 +164,7 @@
     call->sentAt = runtime_clock::now();
     call->lastByteAt = call->sentAt;
     call->attemptDeadline.reset();
-    m_board.onSent(where, placementRequest, call->sentAt);
+    m_loadBalancer.onSent(where, placementRequest, call->sentAt);
     m_inFlight.insert(call);
     open_reply reply{where, {}, connection};
 
@@ -185,11 +186,11 @@
     }
     const time_point now = runtime_clock::now();
     if (call->route->kind == route_kind::Idempotent)
-        call->attemptDeadline = now + attemptTimeout(*call, m_board, now);
+        call->attemptDeadline = now + attemptTimeout(*call, m_loadBalancer, now);
     const forward_headers fields{where.replica.incarnation.id, call->deadline - now,
                                  call->rank.urgency,           !call->routes->accounts().empty(),
                                  call->accountName(),          call->lastEventId};
-    http_request out = encodeForward(original, fields, std::move(body));
+    http_request out = encodeUpstreamRequest(original, fields, std::move(body));
     logDecision(log_event::Sent,
                 {{"request", call->request.id},
                  {"program", call->request.program.value},
@@ -219,12 +220,12 @@
         co_return tl::unexpected(send_failure{end, head.error().detail});
     }
     call->lastByteAt = runtime_clock::now();
-    const reply_kind kind = judgeReply(*head, call->request.id);
+    const reply_kind kind = classifyReply(*head, call->request.id);
     if (kind == reply_kind::Answer) {
         // The response time of a failure says nothing about how long answers take.
         if (head->status < minFailureStatus)
-            m_board.onFirstByte(where, placementRequest, call->lastByteAt - call->sentAt,
-                                call->lastByteAt);
+            m_loadBalancer.onFirstByte(where, placementRequest, call->lastByteAt - call->sentAt,
+                                       call->lastByteAt);
         call->mayHaveRun = true;
         reply.head = std::move(*head);
         co_return reply;
@@ -236,7 +237,7 @@
         co_return tl::unexpected(send_failure{send_outcome::Broken, "not the replica's answer"});
     }
     if (kind == reply_kind::WrongReplica)
-        m_board.setLeaving(where.replica.incarnation);
+        m_loadBalancer.setLeaving(where.replica.incarnation);
     // The rest of a refusal is read so that the connection can be reused.
     while (true) {
         const auto chunk = co_await connection->readSome(call->deadline);
@@ -252,13 +253,13 @@
     const time_point now = runtime_clock::now();
     if (end == send_outcome::Answered && reply.head.status >= minFailureStatus)
         end = send_outcome::Failed;
-    m_board.onDone(reply.where, end, now);
+    m_loadBalancer.onDone(reply.where, end, now);
     call.connection = nullptr;
     call.attemptDeadline.reset();
     std::erase_if(m_inFlight, [&](const entry_call_ptr &c) { return c.get() == &call; });
     // Connections to a process that has ended are dead, and the next request on one of them would
     // fail.
-    const bool isReplaced = m_board.isReplaced(reply.where.replica.incarnation);
+    const bool isReplaced = m_loadBalancer.isReplaced(reply.where.replica.incarnation);
     const bool isAnswerRead = end == send_outcome::Answered || end == send_outcome::Failed
         || end == send_outcome::NotRun;
     const bool keep = !isReplaced && isAnswerRead;
@@ -294,7 +295,7 @@
         }
         if (call->sends >= call->route->maxAttempts || refusals > maxRefusals)
             break;
-        const auto where = m_board.choose(placementRequest, runtime_clock::now());
+        const auto where = m_loadBalancer.choose(placementRequest, runtime_clock::now());
         if (!where)
             break;
         placementRequest.tried.insert(where->replica.incarnation);
@@ -324,7 +325,7 @@
 {
     call->abortReason = abort_reason::None;
     ++call->sends;
-    bool isUnlisted = !m_board.isListed(broken.replica.incarnation);
+    bool isUnlisted = !m_loadBalancer.isListed(broken.replica.incarnation);
     if (!isUnlisted && call->sends >= call->route->maxAttempts) {
         // No other replica may be asked while this one is alive.
         std::string copy = body;
@@ -332,7 +333,7 @@
         if (again)
             co_return again;
         isUnlisted = again.error().end == send_outcome::Unreachable
-            || !m_board.isListed(broken.replica.incarnation);
+            || !m_loadBalancer.isListed(broken.replica.incarnation);
         if (!isUnlisted)
             co_return again;
     }
--- a/src/entry/upstream_sender.h
+++ b/src/entry/upstream_sender.h
@@ -32,7 +32,7 @@
 class upstream_sender
 {
 public:
-    upstream_sender(const asio::any_io_executor &executor, replica_load_balancer &board,
+    upstream_sender(const asio::any_io_executor &executor, replica_load_balancer &loadBalancer,
                     entry_metrics &metrics);
 
     /// \brief Sends \p call to replicas until one answers.
@@ -84,7 +84,7 @@
     awaitable<void> probeByConnecting(replica_incarnation who, endpoint address);
 
     asio::any_io_executor m_executor;
-    replica_load_balancer &m_board;
+    replica_load_balancer &m_loadBalancer;
     entry_metrics &m_metrics;
     connection_pool m_pool;
     routing_config_ptr m_routes;
--- a/src/explain/log_story.cpp
+++ b/src/explain/log_story.cpp
@@ -49,13 +49,13 @@
     return !entry.time.empty() && !entry.event.empty();
 }
 
-bool isAbout(const log_entry &e, std::string_view id)
+bool mentionsId(const log_entry &e, std::string_view id)
 {
     return e.field("request") == id || e.field("program") == id;
 }
 
 /// \brief What the lines of a request say of where else to look.
-struct story_frame
+struct timeline_scope
 {
     std::set<std::string> sources;
     std::set<std::string> replicas;
@@ -63,9 +63,9 @@
     std::string end;
 };
 
-story_frame frameOf(const std::vector<const log_entry *> &own)
+timeline_scope scopeOf(const std::vector<const log_entry *> &own)
 {
-    story_frame frame;
+    timeline_scope frame;
     for (const log_entry *e : own) {
         frame.sources.insert(e->source);
         if (!e->field("replica").empty())
@@ -78,7 +78,7 @@
 
 /// \returns whether \p e tells what a daemon of the story believed, in the time of the story or as
 /// the last word before it.
-bool isContext(const log_entry &e, const story_frame &frame)
+bool isContext(const log_entry &e, const timeline_scope &frame)
 {
     if (!frame.sources.contains(e.source) || e.time > frame.end)
         return false;
@@ -92,7 +92,7 @@
     return ofDaemon.contains(e.event) && e.time >= frame.begin;
 }
 
-std::string lineOf(const log_entry &e, bool isOwn)
+std::string formatEntry(const log_entry &e, bool isOwn)
 {
     std::string text
         = fmt::format("{}  {:<22} {} {}", e.time, e.source, isOwn ? "*" : " ", e.event);
@@ -102,7 +102,7 @@
 }
 
 /// \returns what the lines of one request should have and have not.
-std::string missingOf(const std::vector<const log_entry *> &own, bool logDropped)
+std::string describeMissingLines(const std::vector<const log_entry *> &own, bool logDropped)
 {
     std::map<std::string, std::set<std::string>> eventsOf;
     for (const log_entry *e : own) {
@@ -132,7 +132,7 @@
     return found == fields.end() ? std::string_view() : std::string_view(found->second);
 }
 
-void readLog(std::istream &in, const std::string &source, log_lines &into)
+void readLog(std::istream &in, const std::string &source, parsed_log &into)
 {
     std::string line;
     while (std::getline(in, line)) {
@@ -146,11 +146,11 @@
     }
 }
 
-std::string tellStory(const log_lines &lines, std::string_view id)
+std::string formatTimeline(const parsed_log &lines, std::string_view id)
 {
     std::vector<const log_entry *> own;
     for (const log_entry &e : lines.entries) {
-        if (isAbout(e, id))
+        if (mentionsId(e, id))
             own.push_back(&e);
     }
     const auto byTime = [](const log_entry *a, const log_entry *b) { return a->time < b->time; };
@@ -161,19 +161,19 @@
     if (own.empty())
         return text + fmt::format("no line names {} as a request or a program\n", id);
 
-    const story_frame frame = frameOf(own);
+    const timeline_scope frame = scopeOf(own);
     std::vector<const log_entry *> all = own;
     bool logDropped = false;
     for (const log_entry &e : lines.entries) {
-        if (isAbout(e, id) || !isContext(e, frame))
+        if (mentionsId(e, id) || !isContext(e, frame))
             continue;
         all.push_back(&e);
         logDropped = logDropped || e.event == "log_dropped";
     }
     std::stable_sort(all.begin(), all.end(), byTime);
     for (const log_entry *e : all)
-        text += lineOf(*e, isAbout(*e, id));
-    return text + missingOf(own, logDropped);
+        text += formatEntry(*e, mentionsId(*e, id));
+    return text + describeMissingLines(own, logDropped);
 }
 
 } // namespace azurehill
--- a/src/explain/log_story.h
+++ b/src/explain/log_story.h
@@ -30,7 +30,7 @@
 };
 
 /// \brief The lines of logs that can be read, and how many could not.
-struct log_lines
+struct parsed_log
 {
     std::vector<log_entry> entries;
     /// Lines that are no JSON objects with a time and an event.
@@ -39,10 +39,10 @@
 
 /// \brief Reads the log of \p source and adds its lines to \p into. Text before the first brace of
 /// a line is passed over; its last word names the source.
-void readLog(std::istream &in, const std::string &source, log_lines &into);
+void readLog(std::istream &in, const std::string &source, parsed_log &into);
 
 /// \returns the story of the request or program \p id in time order, one line an event, with what
 /// the daemons believed meanwhile of the store and the replicas it met, and with what is missing.
-std::string tellStory(const log_lines &lines, std::string_view id);
+std::string formatTimeline(const parsed_log &lines, std::string_view id);
 
 } // namespace azurehill
--- a/src/inner/heartbeat.cpp
+++ b/src/inner/heartbeat.cpp
@@ -31,10 +31,10 @@
 {
     heartbeat beat{{{value["daemon"].asString()}, value["incarnation"].asString()}, {}};
     for (const Json::Value &one : value["evidence"]) {
-        const bool refused = one["sign"].asString() == toName(failure_sign::Refused);
+        const bool refused = one["sign"].asString() == toName(failure_kind::Refused);
         beat.evidence.push_back({{{one["daemon"].asString()}, one["incarnation"].asString()},
                                  {one["observer"].asString()},
-                                 refused ? failure_sign::Refused : failure_sign::Silent,
+                                 refused ? failure_kind::Refused : failure_kind::Silent,
                                  milliseconds(one["age_ms"].asInt64())});
     }
     return beat;
--- a/src/inner/heartbeats.cpp
+++ b/src/inner/heartbeats.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 heartbeats::heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
-                       detector_settings settings)
+                       failure_detector_settings settings)
     : m_context(context), m_self(std::move(self)), m_innerToken(std::move(innerToken)),
       m_detector(m_self.daemon, settings),
       m_server([this](const heartbeat &beat) { return onHeartbeat(beat); })
--- a/src/inner/heartbeats.h
+++ b/src/inner/heartbeats.h
@@ -14,7 +14,7 @@
 {
 public:
     heartbeats(asio::io_context &context, daemon_run self, std::string innerToken,
-               detector_settings settings);
+               failure_detector_settings settings);
 
     /// \brief Starts the send loop.
     void start();
--- a/src/journal/batch.cpp
+++ b/src/journal/batch.cpp
@@ -18,7 +18,7 @@
 /// in one row begins with a brace.
 constexpr char splitMark = '#';
 
-std::string partKey(std::string_view firstKey, std::size_t part)
+std::string continuationKey(std::string_view firstKey, std::size_t part)
 {
     return fmt::format("{}/{:06}", firstKey, part);
 }
@@ -85,7 +85,7 @@
         std::size_t to = std::min(from + maxBytes, text.size());
         while (to < text.size() && (static_cast<unsigned char>(text[to]) & 0xC0U) == 0x80U)
             --to;
-        rows.push_back({partKey(key, rows.size()), text.substr(from, to - from)});
+        rows.push_back({continuationKey(key, rows.size()), text.substr(from, to - from)});
         from = to;
     }
     rows.front().value = fmt::format("{}{}\n", splitMark, rows.size() - 1);
--- a/src/journal/commit_batcher.cpp
+++ b/src/journal/commit_batcher.cpp
@@ -12,8 +12,8 @@
 
 /// \brief Takes the entries that \p gone holds for out of \p entries and tells their fate.
 template <class Entries, class Predicate>
-void takeOut(Entries &entries, Predicate gone, commit_result result,
-             std::vector<commit_action> &actions)
+void completeMatching(Entries &entries, Predicate gone, commit_result result,
+                      std::vector<commit_action> &actions)
 {
     commit_done done{{}, result};
     const auto keep = [&](const auto &e) { return !gone(e); };
@@ -37,14 +37,14 @@
 } // namespace
 
 commit_batcher::commit_batcher(daemon_id daemon, std::string incarnation, commit_settings settings)
-    : m_settings(settings), m_retryPause(settings.firstRetry)
+    : m_settings(settings), m_retryDelay(settings.initialRetryDelay)
 {
     m_batch.daemon = std::move(daemon);
     m_batch.incarnation = std::move(incarnation);
 }
 
 tl::expected<commit_ticket, append_error>
-commit_batcher::append(std::vector<journal_record> records, commit_need need, time_point now)
+commit_batcher::append(std::vector<journal_record> records, commit_policy need, time_point now)
 {
     entry e{0, std::move(records), 0, need, now, false};
     for (const journal_record &r : e.records) {
@@ -55,7 +55,7 @@
     // A record that no write can hold would be tried for ever and block all that come after it.
     if (e.bytes > m_settings.maxEntryBytes)
         return tl::unexpected(append_error::TooLarge);
-    if (need == commit_need::Refusable && isBusy(now))
+    if (need == commit_policy::Refusable && isBusy(now))
         return tl::unexpected(append_error::Busy);
     e.ticket = ++m_lastTicket;
     m_waitingBytes += e.bytes;
@@ -66,14 +66,14 @@
 bool commit_batcher::isBusy(time_point now) const
 {
     const auto late = [&](const std::vector<entry> &entries) {
-        return !entries.empty() && now - entries.front().since > m_settings.maxWait;
+        return !entries.empty() && now - entries.front().since > m_settings.maxWaitTime;
     };
     return m_waitingBytes > m_settings.maxWaitingBytes || late(m_inFlight) || late(m_waiting);
 }
 
 bool commit_batcher::isRefusable(const entry &e, time_point now) const
 {
-    return e.need == commit_need::Refusable && now - e.since > m_settings.maxWait;
+    return e.need == commit_policy::Refusable && now - e.since > m_settings.maxWaitTime;
 }
 
 std::vector<commit_action> commit_batcher::onView(commit_view view)
@@ -92,7 +92,7 @@
                 e.lost = e.lost || skipped || !m_view.owns(programOf(r));
         }
     }
-    takeOut(
+    completeMatching(
         m_waiting, [](const entry &e) { return e.lost; }, commit_result::Lost, actions);
     m_waitingBytes = bytesOf(m_waiting);
     return actions;
@@ -101,7 +101,7 @@
 void commit_batcher::startBatch()
 {
     ++m_batch.sequence;
-    m_mayLand = false;
+    m_earlierWriteMayApply = false;
     std::size_t taken = 0;
     std::size_t records = 0;
     std::size_t bytes = 0;
@@ -127,7 +127,7 @@
     m_batch.records.clear();
     for (const entry &e : m_inFlight)
         m_batch.records.insert(m_batch.records.end(), e.records.begin(), e.records.end());
-    m_lastTryFence = m_view.number;
+    m_lastWriteFence = m_view.number;
     m_phase = phase::Writing;
     actions.emplace_back(write_batch{m_batch, m_view.version});
 }
@@ -139,7 +139,7 @@
     actions.emplace_back(read_back{m_batch});
 }
 
-void commit_batcher::tryAgain(time_point now, std::vector<commit_action> &actions)
+void commit_batcher::retryBatch(time_point now, std::vector<commit_action> &actions)
 {
     const auto gone = [&](const entry &e) { return e.lost || isRefusable(e, now); };
     const bool anyLost
@@ -147,12 +147,12 @@
     // Failure: a try whose answer was lost lands after the read that did not find it. A record
     // taken out of the batch would then be durable although its ticket was told Lost. So nothing is
     // taken out before a read that follows a newer view: no earlier try can pass that view's check.
-    if (m_mayLand && anyLost)
+    if (m_earlierWriteMayApply && anyLost)
         return readBack(actions);
-    if (!m_mayLand) {
-        takeOut(
+    if (!m_earlierWriteMayApply) {
+        completeMatching(
             m_inFlight, [](const entry &e) { return e.lost; }, commit_result::Lost, actions);
-        takeOut(m_inFlight, gone, commit_result::Refused, actions);
+        completeMatching(m_inFlight, gone, commit_result::Refused, actions);
     }
     if (m_inFlight.empty())
         return finishBatch();
@@ -162,22 +162,22 @@
 std::vector<commit_action> commit_batcher::poll(time_point now)
 {
     std::vector<commit_action> actions;
-    takeOut(
+    completeMatching(
         m_waiting, [&](const entry &e) { return isRefusable(e, now); }, commit_result::Refused,
         actions);
     m_waitingBytes = bytesOf(m_waiting);
-    if (now < m_notBefore)
+    if (now < m_nextAttemptAt)
         return actions;
     switch (m_phase) {
     case phase::Idle:
         if (m_waiting.empty())
             break;
         startBatch();
-        m_notBefore = now + m_settings.interval;
+        m_nextAttemptAt = now + m_settings.interval;
         write(actions);
         break;
     case phase::WaitingToWrite:
-        tryAgain(now, actions);
+        retryBatch(now, actions);
         break;
     case phase::WaitingToReadBack:
         readBack(actions);
@@ -189,37 +189,37 @@
     return actions;
 }
 
-std::vector<commit_action> commit_batcher::onAnswer(batch_answer answer, time_point now)
+std::vector<commit_action> commit_batcher::onAnswer(batch_outcome answer, time_point now)
 {
     std::vector<commit_action> actions;
     if (m_phase != phase::Writing && m_phase != phase::ReadingBack)
         return actions;
     switch (answer) {
-    case batch_answer::Written:
+    case batch_outcome::Written:
         actions.emplace_back(commit_done{{}, commit_result::Durable});
         for (const entry &e : m_inFlight)
             std::get<commit_done>(actions.back()).tickets.push_back(e.ticket);
         m_inFlight.clear();
         finishBatch();
         break;
-    case batch_answer::Unknown:
+    case batch_outcome::Unknown:
         // Guessing either way breaks a promise: "written" may lose a turn, "not written" may run a
         // request twice. The row's own key is read back until an answer comes.
-        m_mayLand = true;
+        m_earlierWriteMayApply = true;
         waitToRetry(phase::WaitingToReadBack, now);
         break;
-    case batch_answer::Unavailable:
+    case batch_outcome::Unavailable:
         waitToRetry(m_phase == phase::Writing ? phase::WaitingToWrite : phase::WaitingToReadBack,
                     now);
         break;
-    case batch_answer::Fenced:
+    case batch_outcome::Fenced:
         // No try under this view or an older one can land any more.
-        m_mayLand = false;
+        m_earlierWriteMayApply = false;
         waitToRetry(phase::WaitingToWrite, now);
         break;
-    case batch_answer::Absent:
-        if (m_readBackFence > m_lastTryFence)
-            m_mayLand = false;
+    case batch_outcome::Absent:
+        if (m_readBackFence > m_lastWriteFence)
+            m_earlierWriteMayApply = false;
         waitToRetry(phase::WaitingToWrite, now);
         break;
     }
@@ -229,15 +229,15 @@
 void commit_batcher::finishBatch()
 {
     m_phase = phase::Idle;
-    m_retryPause = m_settings.firstRetry;
+    m_retryDelay = m_settings.initialRetryDelay;
     m_batch.records.clear();
 }
 
 void commit_batcher::waitToRetry(phase next, time_point now)
 {
     m_phase = next;
-    m_notBefore = now + m_retryPause;
-    m_retryPause = std::min(m_retryPause * 2, m_settings.longestRetry);
+    m_nextAttemptAt = now + m_retryDelay;
+    m_retryDelay = std::min(m_retryDelay * 2, m_settings.maxRetryDelay);
 }
 
 std::optional<time_point> commit_batcher::wakeAt() const
@@ -246,11 +246,11 @@
     const bool waits = m_phase == phase::WaitingToWrite || m_phase == phase::WaitingToReadBack
         || (m_phase == phase::Idle && !m_waiting.empty());
     if (waits)
-        at = m_notBefore;
+        at = m_nextAttemptAt;
     for (const entry &e : m_waiting) {
-        if (e.need != commit_need::Refusable)
+        if (e.need != commit_policy::Refusable)
             continue;
-        const time_point refuseAt = e.since + m_settings.maxWait + duration(1);
+        const time_point refuseAt = e.since + m_settings.maxWaitTime + duration(1);
         at = at ? std::min(*at, refuseAt) : refuseAt;
         break;
     }
--- a/src/journal/commit_batcher.h
+++ b/src/journal/commit_batcher.h
@@ -25,7 +25,7 @@
 
 /// \brief Whether records may be refused while the store is slow or down: the beginning of
 /// something new may, the end of something that ran is kept.
-enum class commit_need { Refusable, Kept };
+enum class commit_policy { Refusable, MustCommit };
 
 /// \brief Why records were not taken in. Nothing of them becomes durable.
 enum class append_error { TooLarge, Busy, NotOwner };
@@ -35,8 +35,8 @@
     /// Shortest time between the starts of two writes; keeps a daemon within its share.
     duration interval = milliseconds(30);
     /// First and longest pause before a write is tried again.
-    duration firstRetry = milliseconds(100);
-    duration longestRetry = seconds(2);
+    duration initialRetryDelay = milliseconds(100);
+    duration maxRetryDelay = seconds(2);
     std::size_t maxRecords = 256;
     /// A batch takes no further records above this.
     std::size_t maxBatchBytes = maxRowBytes;
@@ -45,7 +45,7 @@
     /// Refusable records are not taken in while more than this waits.
     std::size_t maxWaitingBytes = std::size_t{16} * 1024 * 1024;
     /// Refusable records are refused when they, or any before them, wait longer.
-    duration maxWait = seconds(2);
+    duration maxWaitTime = seconds(2);
 };
 
 /// \brief The cell's view as far as commits need it.
@@ -82,7 +82,7 @@
 
 /// \brief What the platform said of a batch. Fenced: the write was refused, and a read after that
 /// did not find the row, so the view's row has another version.
-enum class batch_answer { Written, Fenced, Unavailable, Unknown, Absent };
+enum class batch_outcome { Written, Fenced, Unavailable, Unknown, Absent };
 
 /// \brief Gathers records of many programs into batches, one in flight at a time.
 class commit_batcher
@@ -92,11 +92,11 @@
 
     /// \brief Adds records of one program that become durable together.
     tl::expected<commit_ticket, append_error> append(std::vector<journal_record> records,
-                                                     commit_need need, time_point now);
+                                                     commit_policy need, time_point now);
     /// \brief Takes in the view under which batches are written from now on.
     std::vector<commit_action> onView(commit_view view);
     /// \brief Takes in what came of the last write_batch or read_back.
-    std::vector<commit_action> onAnswer(batch_answer answer, time_point now);
+    std::vector<commit_action> onAnswer(batch_outcome answer, time_point now);
     /// \returns what to do at \p now.
     std::vector<commit_action> poll(time_point now);
     /// \returns when to poll again, if anything waits.
@@ -110,7 +110,7 @@
         commit_ticket ticket = 0;
         std::vector<journal_record> records;
         std::size_t bytes = 0;
-        commit_need need = commit_need::Kept;
+        commit_policy need = commit_policy::MustCommit;
         time_point since;
         /// Set for good once a view took the program away, even if a later one gives it back.
         bool lost = false;
@@ -120,7 +120,7 @@
     void startBatch();
     void write(std::vector<commit_action> &actions);
     void readBack(std::vector<commit_action> &actions);
-    void tryAgain(time_point now, std::vector<commit_action> &actions);
+    void retryBatch(time_point now, std::vector<commit_action> &actions);
     void finishBatch();
     void waitToRetry(phase next, time_point now);
     bool isRefusable(const entry &e, time_point now) const;
@@ -133,12 +133,12 @@
     journal_batch m_batch;
     phase m_phase = phase::Idle;
     /// Whether an earlier try of the batch may have taken effect or still may.
-    bool m_mayLand = false;
-    fencing_number m_lastTryFence = 0;
+    bool m_earlierWriteMayApply = false;
+    fencing_number m_lastWriteFence = 0;
     fencing_number m_readBackFence = 0;
     commit_ticket m_lastTicket = 0;
-    time_point m_notBefore = time_point::min();
-    duration m_retryPause{};
+    time_point m_nextAttemptAt = time_point::min();
+    duration m_retryDelay{};
 };
 
 } // namespace azurehill
--- a/src/journal/record.cpp
+++ b/src/journal/record.cpp
@@ -85,7 +85,7 @@
     return bytes;
 }
 
-std::string replyIn(const json::object &o)
+std::string decodeReply(const json::object &o)
 {
     return o.contains("reply_base64") ? fromBase64(text(o, "reply_base64")) : text(o, "reply");
 }
@@ -152,7 +152,7 @@
                              number(o, "spent"),
                              static_cast<int>(number(o, "status")),
                              text(o, "messages"),
-                             replyIn(o),
+                             decodeReply(o),
                              text(o, "content_type"),
                              {text(o, "engine")}};
     }
--- a/src/lending/credit_exchange.cpp
+++ b/src/lending/credit_exchange.cpp
@@ -127,7 +127,8 @@
     pending->account = account;
     m_pending[number] = pending;
     // A credit that arrives after the loan has expired must not be used.
-    const time_point until = std::min(deadline, runtime_clock::now() + credit_ledger::loanTime);
+    const time_point until
+        = std::min(deadline, runtime_clock::now() + credit_ledger::creditLifetime);
     while (!pending->result && runtime_clock::now() < until) {
         pending->wakeUpTimer.expires_at(std::min(until, runtime_clock::now() + retryInterval));
         retryInterval *= 2;
--- a/src/lending/credit_lender.cpp
+++ b/src/lending/credit_lender.cpp
@@ -53,14 +53,15 @@
     if (found != m_shards.end())
         return found->second;
     const member_state &self = m_view.self();
-    return m_shards.emplace(shard, shard_state(quota_book(self.name, self.incarnation, m_bound)))
+    return m_shards
+        .emplace(shard, shard_state(quota_shard_state(self.name, self.incarnation, m_bound)))
         .first->second;
 }
 
 std::optional<quota_message> credit_lender::answer(const credit_request &request)
 {
     const std::uint64_t number = request.id.number;
-    const account_rule *const rule
+    const account_config *const rule
         = m_routes ? m_routes->accounts().find(request.account) : nullptr;
     // The borrower may have a newer configuration than this daemon.
     if (!rule || m_isReleased)
@@ -81,7 +82,7 @@
             return not_holder{number, preferred};
         return std::nullopt;
     }
-    const int quotaLimit = mostCredits(*rule->quota, m_bound);
+    const int quotaLimit = maxCreditsPerWindow(*rule->quota, m_bound);
     const lend_result result
         = state.book.lend(request.account, request.id, request.use, quotaLimit, now);
     switch (result.verdict) {
@@ -89,7 +90,7 @@
         return credit_lent{number};
     case lend_verdict::OverQuota:
         return credit_denied{number, result.retryAfter};
-    case lend_verdict::LevelTooLow:
+    case lend_verdict::ReservationTooSmall:
         break;
     }
     acquireOrRenew(shard);
@@ -100,7 +101,7 @@
 {
     const auto found = m_shards.find(shardOf(message.account));
     if (found != m_shards.end())
-        found->second.book.giveBack(message.account, message.id);
+        found->second.book.restoreCredit(message.account, message.id);
 }
 
 awaitable<void> credit_lender::maintain()
@@ -109,7 +110,7 @@
         co_await sleepFor(maintenanceInterval);
         const time_point now = runtime_clock::now();
         const bool isReady = m_routes && !m_view.self().name.empty() && !m_isReleased;
-        for (std::size_t shard = 0; isReady && shard < quotaShards; ++shard) {
+        for (std::size_t shard = 0; isReady && shard < quotaShardCount; ++shard) {
             if (hasQuotas(shard))
                 maintainShard(shard, now);
         }
@@ -180,10 +181,10 @@
         state.version = *version;
         state.foreignRow.reset();
         state.writtenAt = sentAt;
-        state.book.onWritten(row, sentAt);
+        state.book.onRowWritten(row, sentAt);
         again = false;
         if (!wasHeld)
-            logDecision(log_event::QuotaHeld,
+            logDecision(log_event::QuotaShardAcquired,
                         {{"shard", std::int64_t(shard)}, {"row_version", std::int64_t(*version)}});
     }
     state.isWriting = false;
@@ -197,7 +198,7 @@
     if (found)
         return onConflictingRow(shard, state, *found);
     state.version = 0;
-    state.book.takeOver(std::nullopt, holder_state::Ended, runtime_clock::now());
+    state.book.takeOver(std::nullopt, holder_state::NoLongerLending, runtime_clock::now());
     return true;
 }
 
@@ -217,19 +218,19 @@
         return true;
     }
     const holder_state holderState = m_view.stateOf(*row);
-    const bool isAbandoned = holderState == holder_state::Ended
+    const bool isAbandoned = holderState == holder_state::NoLongerLending
         || (holderState == holder_state::Silent && m_view.isSettled(now));
     if (!isAbandoned) {
         if (state.book.isHeld())
-            logDecision(log_event::QuotaLost,
+            logDecision(log_event::QuotaShardLost,
                         {{"shard", std::int64_t(shard)}, {"holder", row->holder.value}});
-        state.book.onLost();
+        state.book.onRowLost();
         // Not the row's version, so that the next attempt conflicts and examines the row again.
         state.version = 0;
         state.foreignRow = *row;
         return false;
     }
-    logDecision(log_event::QuotaTaken,
+    logDecision(log_event::QuotaShardTakenOver,
                 {{"shard", std::int64_t(shard)},
                  {"holder", row->holder.value},
                  {"state", std::string(toName(holderState))},
@@ -254,7 +255,7 @@
         state.version = *version;
     state.notPreferredSince.reset();
     state.isWriting = false;
-    logDecision(log_event::QuotaLost,
+    logDecision(log_event::QuotaShardLost,
                 {{"shard", std::int64_t(shard)},
                  {"holder", m_view.preferred(shard).value},
                  {"released", version.has_value()}});
--- a/src/lending/credit_lender.h
+++ b/src/lending/credit_lender.h
@@ -34,8 +34,8 @@
 private:
     struct shard_state
     {
-        explicit shard_state(quota_book b) : book(std::move(b)) { }
-        quota_book book;
+        explicit shard_state(quota_shard_state b) : book(std::move(b)) { }
+        quota_shard_state book;
         /// Last known version of the row in the store.
         store_version version = 0;
         /// The row as last read, if another daemon holds it.
@@ -71,7 +71,7 @@
     quota_bound m_bound;
     routing_config_ptr m_routes;
     /// Shards with accounts that have a quota.
-    std::array<bool, quotaShards> m_hasQuotas{};
+    std::array<bool, quotaShardCount> m_hasQuotas{};
     std::map<std::size_t, shard_state> m_shards;
     unreadable_row_log m_unreadable;
     bool m_isReleased = false;
--- a/src/lending/lender_view.cpp
+++ b/src/lending/lender_view.cpp
@@ -44,7 +44,7 @@
 {
     const member_state *const holder = find(row.holder);
     if (row.isReleased || (holder && holder->incarnation > row.incarnation))
-        return holder_state::Ended;
+        return holder_state::NoLongerLending;
     return holder ? holder_state::Lives : holder_state::Silent;
 }
 
--- a/src/members/membership_protocol.cpp
+++ b/src/members/membership_protocol.cpp
@@ -168,7 +168,7 @@
 
 bool membership_protocol::isIsolated(time_point now) const
 {
-    return now - m_heardAt > isolationTimeout;
+    return now - m_lastMessageAt > isolationTimeout;
 }
 
 void membership_protocol::suspect(const daemon_id &name, time_point now)
@@ -282,7 +282,7 @@
         mergeUpdate(update, now);
     if (m.sender == m_self.name)
         return out;
-    m_heardAt = now;
+    m_lastMessageAt = now;
     const bool isKnown = m_members.onMessageFrom(m.sender, m.incarnation, m.version);
     m_gossipReports.onReports(m.sender, m.demandReports, m.replicaReports, now);
     const auto *sender = m_members.find(m.sender);
--- a/src/members/membership_protocol.h
+++ b/src/members/membership_protocol.h
@@ -72,12 +72,12 @@
 
     const member_list &members() const { return m_members; }
     /// \returns recent reports of other daemons' demand for engine slots.
-    std::vector<concurrency_reports> demandReportsHeard() const
+    std::vector<concurrency_reports> receivedDemandReports() const
     {
         return m_gossipReports.demandReports();
     }
     /// \returns recent reports of other daemons on replica health.
-    std::vector<replica_reports> replicaReportsHeard() const
+    std::vector<replica_reports> receivedReplicaReports() const
     {
         return m_gossipReports.replicaReports();
     }
@@ -140,7 +140,7 @@
     std::vector<daemon_id> m_targets;
     std::optional<time_point> m_lastRound;
     /// When the last message from another daemon was received.
-    time_point m_heardAt;
+    time_point m_lastMessageAt;
     int m_rounds = 0;
 };
 
--- a/src/members/peer_transport.cpp
+++ b/src/members/peer_transport.cpp
@@ -103,7 +103,7 @@
 
 void peer_transport::setPeers(std::vector<endpoint> reachingStore)
 {
-    if (m_mechanisms.has(mechanism::PeerCalls))
+    if (m_mechanisms.has(mechanism::PeerStoreCalls))
         m_peers = std::move(reachingStore);
 }
 
@@ -135,7 +135,8 @@
         m_rateLimitedSince = m_rateLimitedSince.value_or(now);
     // If the store's rate limit counted as an outage, every call would be made a second time
     // through a peer.
-    const bool isTolerated = m_mechanisms.has(mechanism::LimitIsNoOutage) && isRateLimited(result);
+    const bool isTolerated
+        = m_mechanisms.has(mechanism::RateLimitIsNoOutage) && isRateLimited(result);
     if (isTolerated && isDirectWorking() && now - *m_rateLimitedSince < rateLimitTolerance)
         return;
     const bool isTimeout = !result && result.error().kind == http_error_kind::TimedOut;
--- a/src/ownership/failure_detector.h
+++ b/src/ownership/failure_detector.h
@@ -9,25 +9,25 @@
 
 namespace azurehill {
 
-struct detector_settings
+struct failure_detector_settings
 {
-    duration beatEvery = milliseconds(500);
+    duration heartbeatInterval = milliseconds(500);
     /// How many others each daemon sends heartbeats to, however large the cell.
     std::size_t fanOut = 3;
     /// Silence after which a daemon is suspected.
-    duration suspectAfter = milliseconds(1600);
+    duration silenceTimeout = milliseconds(1600);
     /// How long a sign of failure counts unless it is seen again.
-    duration evidenceLife = seconds(3);
+    duration evidenceTtl = seconds(3);
     /// Most signs in one message.
-    std::size_t maxEvidence = 16;
+    std::size_t maxEvidencePerMessage = 16;
 };
 
 /// \brief A sign that a daemon has failed. Silent: heartbeats got no answer. Refused: its host
 /// answered that nobody listens at its port.
-enum class failure_sign { Silent, Refused };
+enum class failure_kind { Silent, Refused };
 
 template <>
-struct enum_names<failure_sign>
+struct enum_names<failure_kind>
 {
     static constexpr std::array<std::string_view, 2> names = {"silent", "refused"};
 };
@@ -37,7 +37,7 @@
 {
     daemon_run run;
     daemon_id observer;
-    failure_sign sign = failure_sign::Silent;
+    failure_kind sign = failure_kind::Silent;
     /// Time since it was seen, so that no two clocks are compared.
     duration age{};
 };
@@ -49,7 +49,7 @@
 class failure_detector
 {
 public:
-    failure_detector(daemon_id self, detector_settings settings)
+    failure_detector(daemon_id self, failure_detector_settings settings)
         : m_self(std::move(self)), m_settings(settings)
     { }
 
@@ -72,29 +72,30 @@
     std::set<daemon_run> refusing(time_point now) const;
 
 private:
-    struct sighting
+    struct peer_observation
     {
-        failure_sign sign = failure_sign::Silent;
+        failure_kind sign = failure_kind::Silent;
         time_point at;
     };
     struct peer
     {
-        time_point lastSign;
-        std::map<daemon_id, sighting> sightings;
+        time_point lastMessageAt;
+        std::map<daemon_id, peer_observation> latestByObserver;
     };
 
-    bool isFresh(const sighting &s, time_point now) const;
-    void noteSilence(time_point now);
-    void note(const daemon_run &run, const daemon_id &observer, sighting seen);
+    bool isFresh(const peer_observation &s, time_point now) const;
+    void recordSilentMembers(time_point now);
+    void note(const daemon_run &run, const daemon_id &observer, peer_observation seen);
 
     daemon_id m_self;
-    detector_settings m_settings;
+    failure_detector_settings m_settings;
     std::vector<member> m_watched;
     std::map<daemon_run, peer> m_peers;
-    time_point m_nextBeat = time_point::min();
+    time_point m_nextHeartbeatAt = time_point::min();
 };
 
 /// \returns the \p count members that follow \p self on the hash ring over \p view.
-std::vector<member> successorsOf(const cell_view &view, const daemon_id &self, std::size_t count);
+std::vector<member> ringSuccessorsOf(const cell_view &view, const daemon_id &self,
+                                     std::size_t count);
 
 } // namespace azurehill
--- a/src/ownership/lease.cpp
+++ b/src/ownership/lease.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Lives of a lease after which a row that stands still is deleted.
-constexpr int abandonedLives = 10;
+constexpr int abandonedAfterTtls = 10;
 
 } // namespace
 
@@ -50,9 +50,9 @@
     return m_renewedAt && now < *m_renewedAt + m_settings.ttl - m_settings.margin;
 }
 
-time_point lease_holder::renewAt() const
+time_point lease_holder::nextRenewalAt() const
 {
-    return m_renewedAt ? *m_renewedAt + m_settings.renewEvery : time_point::min();
+    return m_renewedAt ? *m_renewedAt + m_settings.renewalInterval : time_point::min();
 }
 
 void lease_observer::onRead(const std::vector<lease_record> &leases, time_point sentAt,
@@ -64,44 +64,45 @@
     m_rows.clear();
     for (const lease_record &lease : leases) {
         m_rows[lease.daemon] = lease;
-        const auto [it, isNew] = m_seen.try_emplace(daemon_run{lease.daemon, lease.incarnation},
-                                                    seen{lease.counter, now});
+        const auto [it, isNew] = m_observedRuns.try_emplace(
+            daemon_run{lease.daemon, lease.incarnation}, seen{lease.counter, now});
         // A lower counter is an old renewal that the table applied late: no sign of life.
         if (!isNew && lease.counter > it->second.counter)
             it->second = {lease.counter, now};
     }
-    dropUnlisted();
+    pruneEndedRuns();
 }
 
-void lease_observer::dropUnlisted()
+void lease_observer::pruneEndedRuns()
 {
     // Runs that ended long ago; those that are still members are watched again at once.
-    std::erase_if(m_seen, [this](const auto &entry) {
+    std::erase_if(m_observedRuns, [this](const auto &entry) {
         const lease_record *lease = row(entry.first.daemon);
         const bool listed = lease && lease->incarnation == entry.first.incarnation;
-        return !listed && stoodStill(entry.first, m_settings.ttl * abandonedLives);
+        return !listed && hasBeenUnchangedFor(entry.first, m_settings.ttl * abandonedAfterTtls);
     });
 }
 
-bool lease_observer::stoodStill(const daemon_run &run, duration life) const
+bool lease_observer::hasBeenUnchangedFor(const daemon_run &run, duration life) const
 {
-    const auto it = m_seen.find(run);
-    return it != m_seen.end() && m_lastRead >= it->second.changedAt + life + m_settings.margin;
+    const auto it = m_observedRuns.find(run);
+    return it != m_observedRuns.end()
+        && m_lastRead >= it->second.changedAt + life + m_settings.margin;
 }
 
-bool lease_observer::hasLapsed(const daemon_id &daemon, const std::string &incarnation) const
+bool lease_observer::hasExpired(const daemon_id &daemon, const std::string &incarnation) const
 {
-    return stoodStill({daemon, incarnation}, m_settings.ttl);
+    return hasBeenUnchangedFor({daemon, incarnation}, m_settings.ttl);
 }
 
 bool lease_observer::hasMissedRenewal(const daemon_run &run) const
 {
-    return stoodStill(run, m_settings.renewEvery + m_settings.renewEvery / 2);
+    return hasBeenUnchangedFor(run, m_settings.renewalInterval + m_settings.renewalInterval / 2);
 }
 
 void lease_observer::watch(const daemon_id &daemon, const std::string &incarnation, time_point now)
 {
-    m_seen.try_emplace(daemon_run{daemon, incarnation}, seen{0, now});
+    m_observedRuns.try_emplace(daemon_run{daemon, incarnation}, seen{0, now});
 }
 
 const lease_record *lease_observer::row(const daemon_id &daemon) const
@@ -114,7 +115,7 @@
 {
     std::vector<lease_record> result;
     for (const auto &[daemon, lease] : m_rows) {
-        if (stoodStill({daemon, lease.incarnation}, m_settings.ttl * abandonedLives))
+        if (hasBeenUnchangedFor({daemon, lease.incarnation}, m_settings.ttl * abandonedAfterTtls))
             result.push_back(lease);
     }
     return result;
--- a/src/ownership/lease.h
+++ b/src/ownership/lease.h
@@ -16,7 +16,7 @@
 {
     /// How long a lease lasts after its last renewal.
     duration ttl = seconds(3);
-    duration renewEvery = seconds(1);
+    duration renewalInterval = seconds(1);
     /// What a holder gives up early and an observer waits longer, for clocks of different speed.
     duration margin = milliseconds(300);
 };
@@ -62,7 +62,7 @@
     /// that was paused beyond its lease sees it here.
     bool holds(time_point now) const;
     /// \returns when the next renewal is due.
-    time_point renewAt() const;
+    time_point nextRenewalAt() const;
 
 private:
     lease_settings m_settings;
@@ -83,7 +83,7 @@
     void onRead(const std::vector<lease_record> &leases, time_point sentAt, time_point now);
     /// \returns whether a read showed the lease standing still for its whole life. Time without a
     /// read proves nothing: an observer whose reads fail would remove daemons that renew.
-    bool hasLapsed(const daemon_id &daemon, const std::string &incarnation) const;
+    bool hasExpired(const daemon_id &daemon, const std::string &incarnation) const;
     /// \returns whether a read showed the lease standing still for clearly longer than a renewal
     /// takes. That alone proves no death: a slow table looks the same.
     bool hasMissedRenewal(const daemon_run &run) const;
@@ -102,11 +102,11 @@
         std::uint64_t counter = 0;
         time_point changedAt;
     };
-    bool stoodStill(const daemon_run &run, duration life) const;
-    void dropUnlisted();
+    bool hasBeenUnchangedFor(const daemon_run &run, duration life) const;
+    void pruneEndedRuns();
 
     lease_settings m_settings;
-    std::map<daemon_run, seen> m_seen;
+    std::map<daemon_run, seen> m_observedRuns;
     std::map<daemon_id, lease_record> m_rows;
     time_point m_lastRead = time_point::min();
 };
--- a/src/ownership/membership.h
+++ b/src/ownership/membership.h
@@ -31,16 +31,16 @@
     /// Leases of the members that go. A daemon that woke and renewed in the meantime stays.
     std::vector<lease_check> checks;
     /// Lease rows that go with their members.
-    std::vector<daemon_id> dropLeases;
+    std::vector<daemon_id> leasesToDelete;
 };
 
 /// \brief Asks to delete the lease row of a daemon that is no member, if it is as it was read.
-struct drop_lease
+struct delete_lease
 {
     lease_check lease;
 };
 
-using membership_action = std::variant<change_view, drop_lease>;
+using membership_action = std::variant<change_view, delete_lease>;
 
 /// \brief Decides, for one daemon, when to renew its lease and when to change the cell's view.
 ///
@@ -60,13 +60,13 @@
     /// \brief Notes that the renewal sent at \p sentAt took effect.
     void onRenewed(time_point sentAt);
     /// \brief Notes that the programs gained by view \p number are loaded.
-    void onLoaded(fencing_number number);
+    void onProgramsLoaded(fencing_number number);
     /// \brief Tells which families have a running call, before each poll. Those that a join or a
     /// drain would move stay here until their calls have ended.
     void setRunning(std::set<program_id> roots);
     /// \brief Tells which runs refuse connections, as seen by two observers. They are removed
     /// before their lease has lapsed, if they also missed a renewal.
-    void setRefusing(std::set<daemon_run> runs);
+    void setRunsRefusingConnections(std::set<daemon_run> runs);
     /// \brief Leaves the look-ups with the next change of the view; what does not run moves.
     void drain();
     /// \brief Leaves the members with the next change of the view.
@@ -83,9 +83,9 @@
     bool isActive(time_point now) const;
     /// \returns whether \p program is this daemon's and no change under way moves it. Only then may
     /// a call begin, unless its family has a running call.
-    bool staysHere(const program_id &program) const;
+    bool ownsWithoutPendingMove(const program_id &program) const;
     /// \returns whether a drain has nothing left to hand over.
-    bool isEmptied() const;
+    bool isDrained() const;
     /// \returns whether another run under the same name took this daemon's place. It must stop:
     /// two that take the place from each other would move all programs to and fro.
     bool isSuperseded() const { return m_superseded; }
@@ -95,26 +95,26 @@
 private:
     enum class stage { Serving, Draining, Leaving };
 
-    bool hasLapsed(const member &m) const;
-    void noteOwnPlace();
-    void notePrepared();
+    bool hasExpired(const member &m) const;
+    void updateOwnStatus();
+    void updatePreparedView();
     const member *ownEntry() const;
     bool isMine(const member *owner) const;
-    std::vector<program_id> wantedKeeps() const;
-    std::optional<member> nextSelf(time_point now) const;
+    std::vector<program_id> programsToRetain() const;
+    std::optional<member> nextOwnEntry(time_point now) const;
     bool isJoining() const;
     bool othersArePrepared() const;
     std::optional<change_view> nextChange(time_point now) const;
-    std::optional<drop_lease> nextDrop() const;
+    std::optional<delete_lease> nextLeaseDeletion() const;
 
     member m_self;
     lease_settings m_settings;
     lease_holder m_holder;
     lease_observer m_observer;
     cell_view m_view;
-    time_point m_viewAt = time_point::min();
+    time_point m_viewChangedAt = time_point::min();
     /// Version of a row with an older number than the known view's.
-    std::optional<row_version> m_rowWentBack;
+    std::optional<row_version> m_regressedRowVersion;
     bool m_viewRead = false;
     time_point m_viewReadAt = time_point::min();
     bool m_wasMember = false;
@@ -122,10 +122,10 @@
     stage m_stage = stage::Serving;
     lease_record m_lease;
     std::set<program_id> m_running;
-    std::set<daemon_run> m_refusing;
-    time_point m_keepsAt = time_point::min();
+    std::set<daemon_run> m_runsRefusingConnections;
+    time_point m_retainedChangedAt = time_point::min();
     /// Number of the view that announced this daemon as joining.
-    fencing_number m_joiningSince = 0;
+    fencing_number m_joiningSinceView = 0;
 };
 
 } // namespace azurehill
--- a/src/ownership/ownership_history.cpp
+++ b/src/ownership/ownership_history.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t keptViews = 64;
+constexpr std::size_t maxHistoryViews = 64;
 
 } // namespace
 
@@ -17,7 +17,7 @@
     if (!m_views.empty() && view.number != m_views.back().number + 1)
         m_views.clear();
     m_views.push_back(view);
-    if (m_views.size() > keptViews)
+    if (m_views.size() > maxHistoryViews)
         m_views.pop_front();
 }
 
@@ -32,7 +32,7 @@
     return owner && owner->daemon == m_self && owner->incarnation == m_incarnation;
 }
 
-bool ownership_history::heldSince(const program_id &program, fencing_number number) const
+bool ownership_history::ownedSince(const program_id &program, fencing_number number) const
 {
     return covers(number) && std::all_of(m_views.begin(), m_views.end(), [&](const cell_view &v) {
                return v.number < number || owns(v, program);
@@ -42,7 +42,7 @@
 bool ownership_history::canOwn(const cell_view &view) const
 {
     const member *me = view.find(m_self);
-    return me && me->incarnation == m_incarnation && takesPrograms(*me);
+    return me && me->incarnation == m_incarnation && acceptsPrograms(*me);
 }
 
 bool ownership_history::mayGain(const cell_view &from, const cell_view &to) const
@@ -55,7 +55,7 @@
         if (before.daemon == m_self)
             continue;
         const member *after = to.find(before.daemon);
-        if (takesPrograms(before) && (!after || !takesPrograms(*after)))
+        if (acceptsPrograms(before) && (!after || !acceptsPrograms(*after)))
             return true;
         for (const program_id &kept : before.keeps) {
             if (owns(to, kept))
--- a/src/ownership/ownership_history.h
+++ b/src/ownership/ownership_history.h
@@ -21,7 +21,7 @@
     /// \brief Takes in a view that this daemon adopted; numbers grow.
     void onView(const cell_view &view);
     /// \returns whether this daemon owned \p program in every view from \p number on.
-    bool heldSince(const program_id &program, fencing_number number) const;
+    bool ownedSince(const program_id &program, fencing_number number) const;
     /// \returns whether this daemon may own a program now that it did not hold ever since view
     /// \p number. If not, nothing need be read from the journals.
     bool mayHaveGainedSince(fencing_number number) const;
--- a/src/ownership/placement.cpp
+++ b/src/ownership/placement.cpp
@@ -12,7 +12,7 @@
 }
 
 template <class Predicate>
-const member *heaviest(const cell_view &view, const program_id &root, Predicate counts)
+const member *memberOfHighestWeight(const cell_view &view, const program_id &root, Predicate counts)
 {
     const std::uint64_t programHash = stableHash(root.value);
     const member *best = nullptr;
@@ -25,7 +25,7 @@
 
 } // namespace
 
-bool takesPrograms(const member &m)
+bool acceptsPrograms(const member &m)
 {
     return !m.draining && !m.joining;
 }
@@ -35,7 +35,7 @@
     const std::uint64_t programHash = stableHash(rootOf(program).value);
     std::vector<const member *> order;
     for (const member &m : view.members) {
-        if (takesPrograms(m))
+        if (acceptsPrograms(m))
             order.push_back(&m);
     }
     std::sort(order.begin(), order.end(), [&](const member *a, const member *b) {
@@ -52,12 +52,13 @@
         if (std::binary_search(m.keeps.begin(), m.keeps.end(), root))
             return &m;
     }
-    return heaviest(view, root, takesPrograms);
+    return memberOfHighestWeight(view, root, acceptsPrograms);
 }
 
-const member *nextOwnerOf(const cell_view &view, const program_id &program)
+const member *ownerAfterPendingChanges(const cell_view &view, const program_id &program)
 {
-    return heaviest(view, rootOf(program), [](const member &m) { return !m.draining; });
+    return memberOfHighestWeight(view, rootOf(program),
+                                 [](const member &m) { return !m.draining; });
 }
 
 } // namespace azurehill
--- a/src/ownership/placement.h
+++ b/src/ownership/placement.h
@@ -5,7 +5,7 @@
 namespace azurehill {
 
 /// \returns whether \p m is among those that share out the programs.
-bool takesPrograms(const member &m);
+bool acceptsPrograms(const member &m);
 
 /// \returns the member of \p view that owns the family of \p program, or nullptr when no member
 /// can.
@@ -15,7 +15,7 @@
 const member *ownerOf(const cell_view &view, const program_id &program);
 
 /// \returns the owner of \p program once the joining members have joined and nothing is kept.
-const member *nextOwnerOf(const cell_view &view, const program_id &program);
+const member *ownerAfterPendingChanges(const cell_view &view, const program_id &program);
 
 /// \returns the members of \p view in the order in which a caller should try them for \p program.
 std::vector<const member *> preferenceOrder(const cell_view &view, const program_id &program);
--- a/src/platform/platform_client.cpp
+++ b/src/platform/platform_client.cpp
@@ -40,7 +40,7 @@
     return json::object{{"keys", json::array(keys.begin(), keys.end())}};
 }
 
-json::value scanBody(const std::string &prefix, const std::string &after, int limit)
+json::value scanRequestBody(const std::string &prefix, const std::string &after, int limit)
 {
     return json::object{{"prefix", prefix}, {"after", after}, {"limit", limit}};
 }
@@ -72,9 +72,9 @@
     return rows;
 }
 
-timed_rows timedRowsOf(const json::value &body)
+timestamped_rows parseTimestampedRows(const json::value &body)
 {
-    timed_rows result{rowsOf(body), std::nullopt};
+    timestamped_rows result{rowsOf(body), std::nullopt};
     if (const json::value *now = body.as_object().if_contains("now_ms"))
         result.nowMs = now->to_number<std::int64_t>();
     return result;
@@ -159,19 +159,19 @@
     co_return parsed(*response, rowsOf);
 }
 
-awaitable<platform_client::result<timed_rows>>
-platform_client::readTimed(std::vector<std::string> keys)
+awaitable<platform_client::result<timestamped_rows>>
+platform_client::readTimestamped(std::vector<std::string> keys)
 {
     auto response = co_await call(postJson("/table/read", readBody(keys)));
     if (!response)
         co_return tl::unexpected(response.error());
-    co_return parsed(*response, timedRowsOf);
+    co_return parsed(*response, parseTimestampedRows);
 }
 
 awaitable<platform_client::result<std::vector<table_row>>>
 platform_client::scan(std::string prefix, std::string after, int limit)
 {
-    auto response = co_await call(postJson("/table/scan", scanBody(prefix, after, limit)));
+    auto response = co_await call(postJson("/table/scan", scanRequestBody(prefix, after, limit)));
     if (!response)
         co_return tl::unexpected(response.error());
     co_return parsed(*response, rowsOf);
--- a/src/platform/platform_client.h
+++ b/src/platform/platform_client.h
@@ -24,7 +24,7 @@
 };
 
 /// \brief Rows, and the platform's time at which they were read if the answer carries it.
-struct timed_rows
+struct timestamped_rows
 {
     std::vector<table_row> rows;
     std::optional<std::int64_t> nowMs;
@@ -44,7 +44,7 @@
     /// \brief Reads rows by key; absent rows are left out.
     awaitable<result<std::vector<table_row>>> read(std::vector<std::string> keys);
     /// \brief Reads rows by key, with the time of the reading.
-    awaitable<result<timed_rows>> readTimed(std::vector<std::string> keys);
+    awaitable<result<timestamped_rows>> readTimestamped(std::vector<std::string> keys);
     /// \brief Reads rows in key order whose key begins with \p prefix and comes after \p after.
     awaitable<result<std::vector<table_row>>> scan(std::string prefix, std::string after,
                                                    int limit);
--- a/src/quota/credit_ledger.h
+++ b/src/quota/credit_ledger.h
@@ -16,7 +16,7 @@
     /// The first turn of a program.
     Begin,
     /// Anything else: refusing it would waste what its program has used already.
-    GoOn,
+    Continue,
 };
 
 template <>
@@ -40,7 +40,7 @@
     /// The account has used up its quota.
     OverQuota,
     /// The quota has room, and more than the store knows of would be lent.
-    LevelTooLow,
+    ReservationTooSmall,
 };
 
 /// \brief An answer to a request for a credit.
@@ -52,7 +52,7 @@
 };
 
 /// \brief Credits that another daemon may still lend, or that a dead one has lent.
-struct foreign_credits
+struct peer_credits
 {
     int credits = 0;
     time_point until;
@@ -60,8 +60,9 @@
 
 /// \brief Lends the credits of one account, one for each request.
 ///
-/// A credit is used within \c loanTime of the request for it, or never. So if no span of the window
-/// and \c loanTime has more credits lent in it than the bound, no window has more used in it.
+/// A credit is used within \c creditLifetime of the request for it, or never. So if no span of the
+/// window and \c creditLifetime has more credits lent in it than the bound, no window has more used
+/// in it.
 ///
 /// Programs are let in so that those under way find credits: a refused fifth turn wastes four. How
 /// many requests a program makes is learned from those that were let in before.
@@ -69,28 +70,28 @@
 {
 public:
     /// Time from the request for a credit to its use.
-    static constexpr duration loanTime = milliseconds(250);
+    static constexpr duration creditLifetime = milliseconds(250);
 
     /// \param window span of the bound.
-    explicit credit_ledger(duration window) : m_span(window + loanTime) { }
+    explicit credit_ledger(duration window) : m_span(window + creditLifetime) { }
 
     /// \brief Lends a credit to \p id. Asked again for the same id, it gives the same answer.
     /// \param most credits that all daemons may lend in a window.
     lend_result lend(const credit_id &id, credit_use use, int most, time_point now);
     /// \brief Takes back a credit that was not used and never will be.
-    void giveBack(const credit_id &id);
+    void restoreCredit(const credit_id &id);
 
     /// \returns the credits that may be lent in a window by what the store knows.
-    int level() const { return m_level; }
-    void setLevel(int level) { m_level = level; }
+    int level() const { return m_reservedCredits; }
+    void setReservedCredits(int level) { m_reservedCredits = level; }
     /// \returns the level that fits what is lent now: never less than that, with room to grow.
-    /// \param isShort whether the present level was too low for a request.
-    int wantedLevel(int most, bool isShort, time_point now);
+    /// \param isReservationTooSmall whether the present level was too low for a request.
+    int targetReservation(int most, bool isReservationTooSmall, time_point now);
 
     /// \brief Another daemon may lend \p share, or has lent it.
-    void addForeign(const foreign_credits &share) { m_foreign.push_back(share); }
+    void addPeerCredits(const peer_credits &share) { m_peerCredits.push_back(share); }
     /// \returns what others may have lent and may still lend.
-    const std::vector<foreign_credits> &foreign(time_point now);
+    const std::vector<peer_credits> &foreign(time_point now);
     /// \returns the credits lent in the span that ends now.
     int lent(time_point now);
 
@@ -98,7 +99,7 @@
     struct grant
     {
         credit_id id;
-        credit_use use = credit_use::GoOn;
+        credit_use use = credit_use::Continue;
         time_point at;
     };
 
@@ -106,23 +107,23 @@
     /// \returns what this daemon may lend in a window, by the bound and by what others may lend.
     int capacity(int most, time_point now);
     /// \returns the time until \p count of the grants for \p use, or of all, count no more.
-    duration timeUntilFree(int count, std::optional<credit_use> use, time_point now) const;
+    duration timeUntilExpired(int count, std::optional<credit_use> use, time_point now) const;
     /// \returns the time until the quota has room for \p use, or nothing if it has room now.
-    std::optional<duration> waitForRoom(credit_use use, int most, time_point now);
+    std::optional<duration> admissionDelay(credit_use use, int most, time_point now);
     double requestsPerProgram() const;
     void learn(const grant &g);
     int begins() const;
 
     duration m_span;
-    int m_level = 0;
+    int m_reservedCredits = 0;
     /// In order of time.
     std::deque<grant> m_grants;
-    std::set<credit_id> m_ids;
-    std::vector<foreign_credits> m_foreign;
+    std::set<credit_id> m_grantIds;
+    std::vector<peer_credits> m_peerCredits;
     /// Requests and programs that were let in, each weighing less as time goes by.
     double m_requests = 0;
     double m_programs = 0;
-    time_point m_learnedAt;
+    time_point m_estimateUpdatedAt;
 };
 
 } // namespace azurehill
--- a/src/quota/quota_bound.h
+++ b/src/quota/quota_bound.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "accounts/account_rule.h"
+#include "accounts/account_config.h"
 
 namespace azurehill {
 
@@ -17,6 +17,6 @@
 
 /// \returns the most credits of \p quota that may be used in a window: the limit, and what of the
 /// platform's allowance is not kept back for requests that are sent twice.
-int mostCredits(const request_quota &quota, const quota_bound &bound);
+int maxCreditsPerWindow(const request_quota &quota, const quota_bound &bound);
 
 } // namespace azurehill
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -14,7 +14,7 @@
 enum class message_kind { Request, Lent, Denied, NotHolder, Return };
 
 /// Longest time to come back that a datagram may tell.
-constexpr std::int64_t mostRetryMs = 60'000;
+constexpr std::int64_t maxRetryAfterMs = 60'000;
 
 json::array start(message_kind kind)
 {
@@ -90,14 +90,14 @@
     case message_kind::Request: {
         const int use = a.at(5).to_number<int>();
         return credit_request{
-            idIn(a), {textAt(a, 4)}, use == 0 ? credit_use::Begin : credit_use::GoOn};
+            idIn(a), {textAt(a, 4)}, use == 0 ? credit_use::Begin : credit_use::Continue};
     }
     case message_kind::Lent:
         return credit_lent{numberAt(a, 1)};
     case message_kind::Denied: {
         const auto ms = a.at(2).to_number<std::int64_t>();
         return credit_denied{numberAt(a, 1),
-                             milliseconds(std::clamp<std::int64_t>(ms, 0, mostRetryMs))};
+                             milliseconds(std::clamp<std::int64_t>(ms, 0, maxRetryAfterMs))};
     }
     case message_kind::NotHolder:
         return not_holder{numberAt(a, 1), {textAt(a, 2)}};
--- a/src/quota/quota_message.h
+++ b/src/quota/quota_message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "accounts/account_rule.h"
+#include "accounts/account_config.h"
 #include "quota/credit_ledger.h"
 
 #include <string>
@@ -14,7 +14,7 @@
 {
     credit_id id;
     account_id account;
-    credit_use use = credit_use::GoOn;
+    credit_use use = credit_use::Continue;
 };
 
 /// \brief The request \c number may run.
--- a/src/quota/quota_row.cpp
+++ b/src/quota/quota_row.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Longest time that a share may count; far above any window.
-constexpr std::int64_t mostLeftMs = 600'000;
+constexpr std::int64_t maxPeerShareMs = 600'000;
 
-int creditsIn(const json::value &value)
+int parseCredits(const json::value &value)
 {
     const auto credits = value.to_number<std::int64_t>();
     if (credits < 0 || credits > std::numeric_limits<int>::max())
@@ -22,10 +22,10 @@
     return static_cast<int>(credits);
 }
 
-json::value toJson(const quota_level &level)
+json::value toJson(const credit_reservation &level)
 {
     json::array shares;
-    for (const quota_level::foreign_share &share : level.foreign) {
+    for (const credit_reservation::peer_share &share : level.foreign) {
         json::array one;
         one.emplace_back(share.credits);
         one.emplace_back(toMilliseconds(share.left));
@@ -37,15 +37,15 @@
     return o;
 }
 
-quota_level levelIn(const json::value &value)
+credit_reservation parseReservation(const json::value &value)
 {
-    quota_level level;
-    level.credits = creditsIn(value.at("credits"));
+    credit_reservation level;
+    level.credits = parseCredits(value.at("credits"));
     for (const json::value &one : value.at("foreign").as_array()) {
         const auto left = one.as_array().at(1).to_number<std::int64_t>();
-        if (left < 0 || left > mostLeftMs)
+        if (left < 0 || left > maxPeerShareMs)
             throw std::out_of_range("time of a share");
-        level.foreign.push_back({creditsIn(one.as_array().at(0)), milliseconds(left)});
+        level.foreign.push_back({parseCredits(one.as_array().at(0)), milliseconds(left)});
     }
     return level;
 }
@@ -74,7 +74,7 @@
         row.incarnation = document.at("incarnation").to_number<std::int64_t>();
         row.isReleased = document.at("released").as_bool();
         for (const auto &[account, level] : document.at("levels").as_object())
-            row.levels.emplace(account_id{std::string(account)}, levelIn(level));
+            row.levels.emplace(account_id{std::string(account)}, parseReservation(level));
         return row;
     } catch (const std::exception &) {
         // The caller logs the row's name, and lends nothing of it.
--- a/src/quota/quota_row.h
+++ b/src/quota/quota_row.h
@@ -12,18 +12,18 @@
 namespace azurehill {
 
 /// \brief What the store knows of an account's credits.
-struct quota_level
+struct credit_reservation
 {
     /// Credits that the holder may lend in a window.
     int credits = 0;
     /// \brief Credits of daemons that held the row before, and for how long they count from the
     /// write of the row on.
-    struct foreign_share
+    struct peer_share
     {
         int credits = 0;
         duration left = duration::zero();
     };
-    std::vector<foreign_share> foreign;
+    std::vector<peer_share> foreign;
 };
 
 /// \brief The row of the store that names the daemon that lends the credits of some accounts, and
@@ -34,7 +34,7 @@
     std::int64_t incarnation = 0;
     /// The holder has stopped and lends no more.
     bool isReleased = false;
-    std::map<account_id, quota_level> levels;
+    std::map<account_id, credit_reservation> levels;
 };
 
 /// \returns \p row as the text that the store holds.
--- a/src/quota/quota_shards.cpp
+++ b/src/quota/quota_shards.cpp
@@ -12,7 +12,7 @@
 
 std::size_t shardOf(const account_id &account)
 {
-    return stableHash(account.value) % quotaShards;
+    return stableHash(account.value) % quotaShardCount;
 }
 
 row_name quotaRowName(std::size_t shard)
--- a/src/quota/quota_shards.h
+++ b/src/quota/quota_shards.h
@@ -7,9 +7,9 @@
 namespace azurehill {
 
 /// \brief Accounts are spread over this many rows, each held by one daemon.
-constexpr std::size_t quotaShards = 32;
+constexpr std::size_t quotaShardCount = 32;
 
-/// \returns the shard of \p account, below \c quotaShards.
+/// \returns the shard of \p account, below \c quotaShardCount.
 std::size_t shardOf(const account_id &account);
 /// \returns the row of \p shard in the store.
 row_name quotaRowName(std::size_t shard);
@@ -22,7 +22,7 @@
     /// It lives as far as anybody knows.
     Lives,
     /// It is certain that it lends no more: it released the row, or runs anew.
-    Ended,
+    NoLongerLending,
     /// It may still lend: nobody hears of it, or it can't be told from one that was cut off.
     Silent,
 };
--- a/src/replicas/concurrency_limiter.cpp
+++ b/src/replicas/concurrency_limiter.cpp
@@ -19,7 +19,8 @@
 /// Upper bound of the limit as a multiple of the slots: the excess is queued in the engine, which
 /// knows no priorities. It is above one since clients are spread unevenly over the daemons.
 constexpr double maxRequestsPerSlot = 1.25;
-/// Initial value and upper bound of the limit for one replica while mechanism::FillSlots is off.
+/// Initial value and upper bound of the limit for one replica while mechanism::SlotBasedLimits is
+/// off.
 constexpr double initialPlainLimitPerReplica = 6;
 constexpr double maxPlainLimitPerReplica = 64;
 /// Target for inflation(). Programs are to end within two to three times their duration on idle
@@ -56,7 +57,7 @@
 
 double concurrency_limiter::initialLimit() const
 {
-    const bool fillsSlots = m_mechanisms.has(mechanism::FillSlots);
+    const bool fillsSlots = m_mechanisms.has(mechanism::SlotBasedLimits);
     return (fillsSlots ? std::min(initialLimitPerReplica, slotsPerReplica())
                        : initialPlainLimitPerReplica)
         * replicaShare();
@@ -64,7 +65,7 @@
 
 double concurrency_limiter::maxLimit() const
 {
-    const bool fillsSlots = m_mechanisms.has(mechanism::FillSlots);
+    const bool fillsSlots = m_mechanisms.has(mechanism::SlotBasedLimits);
     return (fillsSlots ? std::max(minLimitPerReplica(), maxRequestsPerSlot * slotsPerReplica())
                        : maxPlainLimitPerReplica)
         * replicaShare();
@@ -243,7 +244,7 @@
     const bool isSlow = observedInflation > targetInflation;
     // Only a limit that is reached shows that it can be raised.
     const bool isLimitReached = !m_queue.empty() || m_inFlightRequests + 1 >= m_limit;
-    const bool fillsSlots = m_mechanisms.has(mechanism::FillSlots);
+    const bool fillsSlots = m_mechanisms.has(mechanism::SlotBasedLimits);
     m_isLimitLearned = m_isLimitLearned || isSlow || isLimitReached;
     if (isSlow)
         m_limit *= decreaseFactor;
--- a/src/replicas/replica_load_balancer.cpp
+++ b/src/replicas/replica_load_balancer.cpp
@@ -198,7 +198,7 @@
     std::int64_t cached = r.cache.cachedPrefixTokens(request.parts, cacheTokensForDaemon(service));
     if (r.entry.incarnation == request.lastReplica)
         cached = std::max(cached, request.lastTokens);
-    if (now - r.listedAt < warmUpTime || !m_mechanisms.has(mechanism::SharedParts))
+    if (now - r.listedAt < warmUpTime || !m_mechanisms.has(mechanism::SharedPromptParts))
         return cached;
     // Other daemons have sent the parts that many programs share.
     std::int64_t shared = 0;
@@ -216,7 +216,7 @@
 replica_load_balancer::sessionHome(const std::vector<upstream_id> &group,
                                    const placement_request &request, time_point now) const
 {
-    if (request.session.empty() || !m_mechanisms.has(mechanism::SessionHomes))
+    if (request.session.empty() || !m_mechanisms.has(mechanism::SessionAffinity))
         return nullptr;
     const replica_state *home = nullptr;
     std::uint64_t highest = 0;
@@ -253,7 +253,7 @@
     const bool isFar = r.entry.dataCentre != m_here;
     const double sum = service.firstByteTime.expectedMs(unread) + load + queue;
     // While the engine reads a prompt, its other requests stall.
-    const double stalledRequests = m_mechanisms.has(mechanism::CrowdedReads)
+    const double stalledRequests = m_mechanisms.has(mechanism::PrefillInterference)
         ? prefillInterference * outstandingPerReplica(service)
         : 0;
     const double stallMs = stalledRequests * service.firstByteTime.msPerToken() * unread;
@@ -377,7 +377,7 @@
         updateFailsEverywhere(r.entry.service);
     if (r.health.isEjected() == wasEjected)
         return;
-    logDecision(wasEjected ? log_event::ReplicaTrusted : log_event::ReplicaDoubted,
+    logDecision(wasEjected ? log_event::ReplicaReinstated : log_event::ReplicaEjected,
                 {{"replica", p.replica.incarnation.id.value},
                  {"end", std::string(toName(outcome))},
                  {"silent_ms", toMilliseconds(now - r.health.lastReceivedAt())},
--- a/src/routes/routing_config.cpp
+++ b/src/routes/routing_config.cpp
@@ -19,7 +19,7 @@
 
 routing_config::routing_config(std::uint64_t version, std::vector<route_rule> routes,
                                std::vector<service_rule> services, client_limits limits,
-                               account_book accounts)
+                               account_registry accounts)
     : m_version(version), m_routes(std::move(routes)), m_limits(limits),
       m_accounts(std::move(accounts))
 {
--- a/src/routes/routing_config.h
+++ b/src/routes/routing_config.h
@@ -95,12 +95,12 @@
 public:
     routing_config(std::uint64_t version, std::vector<route_rule> routes,
                    std::vector<service_rule> services, client_limits limits,
-                   account_book accounts = {});
+                   account_registry accounts = {});
 
     std::uint64_t version() const { return m_version; }
     const client_limits &limits() const { return m_limits; }
     const std::vector<route_rule> &routes() const { return m_routes; }
-    const account_book &accounts() const { return m_accounts; }
+    const account_registry &accounts() const { return m_accounts; }
 
     /// \returns the route of \p hostname with the longest prefix of \p path, or nothing.
     const route_rule *find(std::string_view hostname, std::string_view path) const;
@@ -113,7 +113,7 @@
     std::vector<route_rule> m_routes;
     std::map<std::string, service_rule, std::less<>> m_services;
     client_limits m_limits;
-    account_book m_accounts;
+    account_registry m_accounts;
     /// Indices of the routes of a host by prefix. Prefixes end in a slash, so that a path is looked
     /// up with one search for each of its slashes, however many routes there are.
     std::map<std::string, std::map<std::string, std::size_t, std::less<>>, std::less<>> m_byHost;
--- a/src/runtime/deadline_guard.cpp
+++ b/src/runtime/deadline_guard.cpp
@@ -10,12 +10,12 @@
 
     void arm()
     {
-        armedFor = deadline;
+        timerExpiry = deadline;
         armed = true;
         clock.expires_at(deadline);
         clock.async_wait(
-            [s = shared_from_this(), wait = ++lastWait](boost::system::error_code code) {
-                if (!code && s->lastWait == wait)
+            [s = shared_from_this(), wait = ++waitGeneration](boost::system::error_code code) {
+                if (!code && s->waitGeneration == wait)
                     s->onTimer();
             });
     }
@@ -37,10 +37,10 @@
     timer clock;
     time_point deadline;
     /// The time that the timer waits for, at or before the deadline while it watches.
-    time_point armedFor;
+    time_point timerExpiry;
     std::function<void()> onExpiry;
     /// Grows with every wait, so that one that was replaced does nothing any more.
-    unsigned lastWait = 0;
+    unsigned waitGeneration = 0;
     bool watching = false;
     bool armed = false;
     bool expired = false;
@@ -53,7 +53,7 @@
 deadline_guard::~deadline_guard()
 {
     m_state->watching = false;
-    ++m_state->lastWait;
+    ++m_state->waitGeneration;
     m_state->clock.cancel();
 }
 
@@ -65,7 +65,7 @@
     m_state->onExpiry = std::move(onExpiry);
     // A stream starts and finishes a watch for every token. A timer that is already set for an
     // earlier time stays: when it fires it is set again for what is left.
-    if (!m_state->armed || until < m_state->armedFor)
+    if (!m_state->armed || until < m_state->timerExpiry)
         m_state->arm();
 }
 
--- a/src/runtime/notifier.cpp
+++ b/src/runtime/notifier.cpp
@@ -32,7 +32,7 @@
     return true;
 }
 
-awaitable<void> notifier::waitPast(std::uint64_t seen)
+awaitable<void> notifier::waitForChangeSince(std::uint64_t seen)
 {
     auto initiate = [this, seen](auto handler) {
         auto shared = std::make_shared<decltype(handler)>(std::move(handler));
--- a/src/runtime/notifier.h
+++ b/src/runtime/notifier.h
@@ -22,7 +22,7 @@
     /// \brief Counts a change and resumes every waiter on its own executor.
     void notifyAll();
     /// \brief Waits until there are more than \p seen changes.
-    awaitable<void> waitPast(std::uint64_t seen);
+    awaitable<void> waitForChangeSince(std::uint64_t seen);
 
 private:
     bool addWaiter(std::uint64_t seen, std::function<void()> resume);
--- a/src/runtime/timer.h
+++ b/src/runtime/timer.h
@@ -16,8 +16,8 @@
 {
     static duration to_wait_duration(const duration &d)
     {
-        constexpr duration longestBlindWait = milliseconds(1);
-        return runtime_clock::isPaused() ? std::min(d, longestBlindWait) : d;
+        constexpr duration maxPollInterval = milliseconds(1);
+        return runtime_clock::isPaused() ? std::min(d, maxPollInterval) : d;
     }
     static duration to_wait_duration(const time_point &t)
     {
--- a/src/turns/turn.h
+++ b/src/turns/turn.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "accounts/account_rule.h"
+#include "accounts/account_config.h"
 #include "core/core.h"
 #include "replicas/replica_incarnation.h"
 
--- a/src/turns/turn_ledger.cpp
+++ b/src/turns/turn_ledger.cpp
@@ -285,7 +285,7 @@
     if (done)
         extendRetention(claim, version);
     if (!done) {
-        logDecision(log_event::HoldNotSettled,
+        logDecision(log_event::ReservationNotSettled,
                     {{"request", claim.id.value},
                      {"program", claim.program.value},
                      {"tokens", claim.maxOutputTokens}});
@@ -303,7 +303,7 @@
     }
     while (state->isChanging && runtime_clock::now() < deadline) {
         const std::uint64_t seen = state->changeFinished->version();
-        co_await state->changeFinished->waitPast(seen);
+        co_await state->changeFinished->waitForChangeSince(seen);
     }
     co_return !state->isChanging;
 }
--- a/test/io/account_access_test.cpp
+++ b/test/io/account_access_test.cpp
@@ -14,14 +14,14 @@
     std::vector<route_rule> routes = entry_fixture::makeRoutes()->routes();
     routes.push_back(entry_fixture::rule("/open/", route_kind::Idempotent, "tools"));
     routes.back().isPublic = true;
-    std::vector<account_rule> rules(2);
+    std::vector<account_config> rules(2);
     rules[0].name = {"first"};
     rules[0].keys = {digestOf(keyOfFirst)};
     rules[0].priority = 1;
     rules[0].quota = quota;
     rules[1].name = {"second"};
     rules[1].keys = {digestOf("k2")};
-    auto book = account_book::make(std::move(rules));
+    auto book = account_registry::make(std::move(rules));
     return std::make_shared<routing_config>(version, routes,
                                             entry_fixture::makeRoutes()->services(),
                                             client_limits(), std::move(*book));
@@ -174,7 +174,7 @@
         self.serving = true;
         self.storeReachable = true;
         w.service->setMembers(self, {});
-        const int maxServed = mostCredits({1, 1}, w.settings.quota);
+        const int maxServed = maxCreditsPerWindow({1, 1}, w.settings.quota);
         int served = 0;
         std::string last;
         for (int i = 0; i < maxServed + 5; ++i) {
--- a/test/io/config_store_test.cpp
+++ b/test/io/config_store_test.cpp
@@ -43,7 +43,7 @@
         if (now != write_fault::None && now != write_fault::Outage)
             fault = write_fault::None;
         if (now == write_fault::AnswerLost) {
-            silent_writer nobody;
+            null_response_writer nobody;
             co_await handler(request, nobody);
         }
         if (now == write_fault::None)
@@ -52,7 +52,7 @@
             co_await writer.write(jsonResponse(now == write_fault::Outage ? 503 : 500, "{}"));
     }
 
-    struct silent_writer : response_writer
+    struct null_response_writer : response_writer
     {
         awaitable<bool> write(http_response) override { co_return true; }
         awaitable<bool> begin(int, header_list) override { co_return true; }
@@ -246,7 +246,7 @@
         runtime_clock::advance(seconds(3));
         const auto decided = late.state.presetInForce();
         REQUIRE_FALSE(decided);
-        CHECK(decided.error() == preset_doubt::Unconfirmed);
+        CHECK(decided.error() == preset_unavailable_reason::Unconfirmed);
     }
 }
 
--- a/test/io/decoder_fuzz_test.cpp
+++ b/test/io/decoder_fuzz_test.cpp
@@ -278,7 +278,7 @@
             const auto row = decodeQuotaRow(text);
             for (const auto &[account, level] : row ? row->levels : decltype(row->levels)()) {
                 RC_ASSERT(level.credits >= 0);
-                for (const quota_level::foreign_share &share : level.foreign)
+                for (const credit_reservation::peer_share &share : level.foreign)
                     RC_ASSERT(share.credits >= 0 && share.left >= duration::zero());
             }
         });
@@ -302,7 +302,7 @@
             RC_ASSERT(!decoded->tokenBudget || *decoded->tokenBudget >= 0);
             RC_ASSERT(!decoded->tokens || decoded->tokens->maxOutputTokens >= 0);
             const forward_headers fields{{"i-1"}, seconds(1), 5, true, {"a"}, "4"};
-            const http_request out = encodeForward(request, fields, "body");
+            const http_request out = encodeUpstreamRequest(request, fields, "body");
             RC_ASSERT(out.headers.get("X-Azurehill-Expect-Instance") == "i-1");
             RC_ASSERT(out.headers.get("X-Azurehill-Tenant") == "a");
             RC_ASSERT_FALSE(out.headers.has("Authorization"));
@@ -315,9 +315,9 @@
             response_head head{200, headersOf(text)};
             const bool isOwn = head.headers.get("X-Azurehill-Request-Id") == "r1"
                 && !head.headers.get("X-Azurehill-Server-Stamp").empty();
-            const bool isAnswer = judgeReply(head, "r1") == reply_kind::Answer;
+            const bool isAnswer = classifyReply(head, "r1") == reply_kind::Answer;
             RC_ASSERT(!isAnswer || isOwn);
-            static_cast<void>(replyHeaders(head));
+            static_cast<void>(clientReplyHeaders(head));
         });
     }
 
--- a/test/io/door_test.cpp
+++ b/test/io/door_test.cpp
@@ -194,7 +194,7 @@
 {
     int calls = 0;
     door_world world;
-    world.config.services["proof"].callLimit = milliseconds(300);
+    world.config.services["proof"].callTimeout = milliseconds(300);
     world.addUpstream("proof-1", "proof",
                       [&](const http_request &, response_writer &) -> awaitable<void> {
                           ++calls;
--- a/test/io/door_world.h
+++ b/test/io/door_world.h
@@ -86,7 +86,7 @@
         s.innerToken = "inner";
         s.operatorTokenSha256 = sha256Hex("operator");
         s.lease.ttl = seconds(3);
-        s.lease.renewEvery = s.lease.ttl / 3;
+        s.lease.renewalInterval = s.lease.ttl / 3;
         s.lease.margin = s.lease.ttl / 10;
         return s;
     }
--- a/test/io/inner_test.cpp
+++ b/test/io/inner_test.cpp
@@ -67,7 +67,7 @@
     awaitable<void> serve(const http_request &request, response_writer &writer)
     {
         if (std::exchange(stallNext, false))
-            co_await never.waitPast(never.version());
+            co_await never.waitForChangeSince(never.version());
         http_response response = jsonResponse(200, responseOfB(request.body));
         co_await writer.write(std::move(response));
         ++answers;
@@ -78,7 +78,7 @@
 
 TEST_CASE("Heartbeats as JSON-RPC")
 {
-    const failure_evidence seen{{{"c"}, "2"}, {"a"}, failure_sign::Refused, milliseconds(40)};
+    const failure_evidence seen{{{"c"}, "2"}, {"a"}, failure_kind::Refused, milliseconds(40)};
     SUBCASE("the answer carries what the handler gives")
     {
         const auto answer = decodeResponse(responseOfB(encodeRequest({runA, {seen}}, 7)));
@@ -86,7 +86,7 @@
         CHECK(answer->from == runB);
         REQUIRE(answer->evidence.size() == 1);
         CHECK(answer->evidence[0].run == seen.run);
-        CHECK(answer->evidence[0].sign == failure_sign::Refused);
+        CHECK(answer->evidence[0].sign == failure_kind::Refused);
         CHECK(answer->evidence[0].age == seen.age);
     }
     SUBCASE("other texts get an error and do no harm")
--- a/test/io/lending_test.cpp
+++ b/test/io/lending_test.cpp
@@ -16,10 +16,10 @@
 
 routing_config_ptr routesWith(const request_quota &quota)
 {
-    account_rule rule;
+    account_config rule;
     rule.name = account;
     rule.quota = quota;
-    auto book = account_book::make({rule});
+    auto book = account_registry::make({rule});
     return std::make_shared<routing_config>(1, std::vector<route_rule>(),
                                             std::vector<service_rule>(), client_limits(),
                                             std::move(*book));
@@ -90,7 +90,7 @@
             account_id copy = account;
             const time_point until = runtime_clock::now() + seconds(2);
             const auto got
-                = co_await host(i).exchange.borrow(std::move(copy), credit_use::GoOn, until);
+                = co_await host(i).exchange.borrow(std::move(copy), credit_use::Continue, until);
             isLent = std::holds_alternative<credit_id>(got);
         };
         runInSteps(context, go(), step);
--- a/test/io/platform_codec_test.cpp
+++ b/test/io/platform_codec_test.cpp
@@ -142,9 +142,9 @@
 
         SUBCASE("a start that was not told is an unknown one")
         {
-            const auto unborn = with("born", "");
-            REQUIRE(unborn);
-            CHECK(unborn->incarnation.startedUnixMs == 0);
+            const auto withoutStart = with("born", "");
+            REQUIRE(withoutStart);
+            CHECK(withoutStart->incarnation.startedUnixMs == 0);
         }
         SUBCASE("a start in the future is taken: hosts' clocks differ")
         {
@@ -259,18 +259,18 @@
         using field = header_list::field;
         const field id{"X-Azurehill-Request-Id", "r"};
         const field stamp{"X-Azurehill-Server-Stamp", "s"};
-        CHECK(judgeReply(head(200, {id, stamp}), "r") == reply_kind::Answer);
-        CHECK(judgeReply(head(500, {id, stamp}), "r") == reply_kind::Answer);
-        CHECK(judgeReply(head(200, {id}), "r") == reply_kind::Foreign);
-        CHECK(judgeReply(head(200, {stamp}), "r") == reply_kind::Foreign);
-        CHECK(judgeReply(head(200, {{"X-Azurehill-Request-Id", "q"}, stamp}), "r")
+        CHECK(classifyReply(head(200, {id, stamp}), "r") == reply_kind::Answer);
+        CHECK(classifyReply(head(500, {id, stamp}), "r") == reply_kind::Answer);
+        CHECK(classifyReply(head(200, {id}), "r") == reply_kind::Foreign);
+        CHECK(classifyReply(head(200, {stamp}), "r") == reply_kind::Foreign);
+        CHECK(classifyReply(head(200, {{"X-Azurehill-Request-Id", "q"}, stamp}), "r")
               == reply_kind::Foreign);
-        CHECK(judgeReply(head(200, {id, stamp, {"Content-Encoding", "gzip"}}), "r")
+        CHECK(classifyReply(head(200, {id, stamp, {"Content-Encoding", "gzip"}}), "r")
               == reply_kind::Foreign);
-        CHECK(judgeReply(head(503, {{"X-Azurehill-Not-Run", "1"}}), "r") == reply_kind::NotRun);
-        CHECK(judgeReply(head(421, {}), "r") == reply_kind::WrongReplica);
+        CHECK(classifyReply(head(503, {{"X-Azurehill-Not-Run", "1"}}), "r") == reply_kind::NotRun);
+        CHECK(classifyReply(head(421, {}), "r") == reply_kind::WrongReplica);
         // Without its word for it, a replica may have run what it answers with 503.
-        CHECK(judgeReply(head(503, {id, stamp}), "r") == reply_kind::Answer);
+        CHECK(classifyReply(head(503, {id, stamp}), "r") == reply_kind::Answer);
     }
 
     TEST_CASE("bytes survive base64")
--- a/test/io/platform_store_test.cpp
+++ b/test/io/platform_store_test.cpp
@@ -25,9 +25,9 @@
 }
 
 /// \brief A store's stand-in and a client of it.
-struct store_world
+struct store_client_fixture
 {
-    store_world()
+    store_client_fixture()
         : standin(context.get_executor(), rows),
           transport(std::make_shared<peer_transport>(context.get_executor(),
                                                      endpoint{"127.0.0.1", standin.listen()})),
@@ -69,7 +69,7 @@
     }
 
     /// \brief The next call goes wrong in this way.
-    void troubleOnce(store_trouble trouble)
+    void injectOnce(store_trouble trouble)
     {
         once = trouble;
         standin.nextTrouble
@@ -90,7 +90,7 @@
 {
     TEST_CASE("rows are written under conditions and read by ranges")
     {
-        store_world w;
+        store_client_fixture w;
         const auto first = w.write("a", std::string("\0\xff odd", 6), 0);
         REQUIRE(first);
         CHECK(w.write("b&c=", "two", 0));
@@ -127,9 +127,9 @@
 
     TEST_CASE("a failed call says whether something may have been done")
     {
-        store_world w;
+        store_client_fixture w;
         const auto kindAfter = [&](store_trouble trouble) {
-            w.troubleOnce(trouble);
+            w.injectOnce(trouble);
             const auto result = w.write("a", "x", 0, milliseconds(150));
             REQUIRE_FALSE(result);
             return result.error().kind;
@@ -143,14 +143,14 @@
         CHECK(w.rows.size() == 0);
         w.standin.settleLate();
         CHECK(w.rows.size() == 1);
-        w.troubleOnce(store_trouble::AnswerLost);
+        w.injectOnce(store_trouble::AnswerLost);
         CHECK(w.write("b", "x", 0).error().kind == store_error_kind::Unknown);
         CHECK(w.rows.size() == 2);
     }
 
     TEST_CASE("an outage is known after two failures, and its end by a single call")
     {
-        store_world w;
+        store_client_fixture w;
         w.standin.nextTrouble = [](std::string_view) { return store_trouble::Unavailable; };
         CHECK_FALSE(w.write("a", "x", 0));
         CHECK(w.client.isReachable());
@@ -167,7 +167,7 @@
         // whose last answer was over half a second old took the first such refusals for an outage:
         // it went through its peers, and refused turns without asking the store.
         const paused_clock pause;
-        store_world w;
+        store_client_fixture w;
         const auto writeLimited = [&] {
             store_result<store_version> result;
             auto go = [&]() -> awaitable<void> {
@@ -198,26 +198,26 @@
     {
         // Nobody called in the last seconds of an outage. The first program that came after it was
         // refused all the same, since only a call could have shown that the store was back.
-        store_world w;
-        spawn(w.context.get_executor(), "watchOutages", w.client.watchOutages());
+        store_client_fixture w;
+        spawn(w.context.get_executor(), "watchOutages", w.client.probeDuringOutages());
         w.standin.nextTrouble = [](std::string_view) { return store_trouble::Unavailable; };
         CHECK_FALSE(w.write("a", "x", 0));
         CHECK_FALSE(w.write("a", "x", 0));
         const paused_clock pause;
-        auto lookFor = [&](duration most) -> awaitable<void> {
+        auto awaitReachable = [&](duration most) -> awaitable<void> {
             const time_point until = later(most);
             while (!w.client.isReachable() && runtime_clock::now() < until)
                 co_await sleepFor(milliseconds(10));
         };
         SUBCASE("until then no caller is sent ahead to find out")
         {
-            runInSteps(w.context, lookFor(seconds(2)), milliseconds(10));
+            runInSteps(w.context, awaitReachable(seconds(2)), milliseconds(10));
             CHECK_FALSE(w.client.isReachable());
         }
         SUBCASE("and then all may call again")
         {
             w.standin.nextTrouble = [](std::string_view) { return store_trouble::None; };
-            runInSteps(w.context, lookFor(seconds(5)), milliseconds(10));
+            runInSteps(w.context, awaitReachable(seconds(5)), milliseconds(10));
             CHECK(w.client.isReachable());
         }
     }
@@ -228,21 +228,21 @@
         // one in the next 0.8 s, and the daemon took them for a new outage: it refused turns with
         // `store_unavailable` after 0 ms and held back the ends of answers until their clients
         // left.
-        store_world w;
+        store_client_fixture w;
         int calls = 0;
         int lost = 0;
         w.standin.nextTrouble = [&](std::string_view) {
             return ++calls <= 2 ? store_trouble::Silent : store_trouble::None;
         };
-        auto loseOne = [&]() -> awaitable<void> {
+        auto loseCall = [&]() -> awaitable<void> {
             store_transaction t = put("a", "x", 0);
             const auto result = co_await w.client.transact(std::move(t), later(milliseconds(100)));
             CHECK_FALSE(result);
             ++lost;
         };
         auto story = [&]() -> awaitable<void> {
-            spawn(w.context.get_executor(), "loseOne", loseOne());
-            spawn(w.context.get_executor(), "loseOne", loseOne());
+            spawn(w.context.get_executor(), "loseOne", loseCall());
+            spawn(w.context.get_executor(), "loseOne", loseCall());
             while (calls < 2)
                 co_await sleepFor(milliseconds(1));
             store_transaction t = put("b", "x", 0);
@@ -259,7 +259,7 @@
     {
         // Every daemon told "store lost" twice a second on a calm day, and made half of its calls
         // twice: a feed without changes was cut off and asked for again through a peer.
-        store_world w;
+        store_client_fixture w;
         REQUIRE(w.write("a", "x", 0));
         w.transport->setPeers({{"127.0.0.1", 1}});
         const auto quiet = w.changes(w.rows.version(), milliseconds(500));
@@ -273,7 +273,7 @@
     {
         // Lessons stalled on two of nine hosts for nine seconds: the store answered them 503 and
         // served the others, which could have made the calls for them.
-        store_world w;
+        store_client_fixture w;
         row_store &rows = w.rows;
         store_standin forPeer(w.context.get_executor(), rows);
         peer_transport peer(w.context.get_executor(), {"127.0.0.1", forPeer.listen()});
