--- a/test/io/settings_test.cpp
+++ b/test/io/settings_test.cpp
@@ -12,7 +12,7 @@
 const std::string digest(64, 'a');
 
 /// \brief Reads \p extra after the flags that must be given.
-command_line readWith(std::vector<std::string> extra)
+command_line readWithRequired(std::vector<std::string> extra)
 {
     std::vector<std::string> all = {
         "azurehilld", "--name",         "entry-1",       "--data-centre", "riohacha",
@@ -48,7 +48,7 @@
 {
     SUBCASE("with only what must be given, the rest has its default")
     {
-        const command_line c = readWith({});
+        const command_line c = readWithRequired({});
         CHECK(c.faults.empty());
         CHECK(c.values.name == "entry-1");
         CHECK(c.values.limits.maxConnections == http_limits().maxConnections);
@@ -60,20 +60,21 @@
     SUBCASE("a variable goes before the default")
     {
         const variable threads("AZUREHILL_TRAFFIC_THREADS", "7");
-        CHECK(readWith({}).values.trafficThreads == 7);
+        CHECK(readWithRequired({}).values.trafficThreads == 7);
         SUBCASE("and a flag before the variable")
         {
-            CHECK(readWith({"--traffic-threads", "3"}).values.trafficThreads == 3);
+            CHECK(readWithRequired({"--traffic-threads", "3"}).values.trafficThreads == 3);
         }
         SUBCASE("the last of a repeated flag counts")
         {
-            CHECK(readWith({"--traffic-threads", "3", "--traffic-threads=4"}).values.trafficThreads
+            CHECK(readWithRequired({"--traffic-threads", "3", "--traffic-threads=4"})
+                      .values.trafficThreads
                   == 4);
         }
     }
     SUBCASE("peers are a list of addresses")
     {
-        const command_line c = readWith({"--peers", "10.0.0.1:70,10.0.0.2:71"});
+        const command_line c = readWithRequired({"--peers", "10.0.0.1:70,10.0.0.2:71"});
         CHECK(c.faults.empty());
         CHECK(c.values.peers == std::vector<endpoint>{{"10.0.0.1", 70}, {"10.0.0.2", 71}});
     }
@@ -83,9 +84,9 @@
 {
     SUBCASE("with its flag and value")
     {
-        const command_line c
-            = readWith({"--listen", "localhost:80", "--traffic-threads", "0", "--log-level", "loud",
-                        "--platform", "127.0.0.1:0", "--peers", "10.0.0.1", "--nonsense", "word"});
+        const command_line c = readWithRequired(
+            {"--listen", "localhost:80", "--traffic-threads", "0", "--log-level", "loud",
+             "--platform", "127.0.0.1:0", "--peers", "10.0.0.1", "--nonsense", "word"});
         CHECK(c.faults.size() == 7);
         CHECK(hasFault(c, "--listen", "localhost:80"));
         CHECK(hasFault(c, "--traffic-threads", "0"));
@@ -98,26 +99,27 @@
     SUBCASE("or with its variable")
     {
         const variable threads("AZUREHILL_TRAFFIC_THREADS", "65");
-        CHECK(hasFault(readWith({}), "AZUREHILL_TRAFFIC_THREADS", "65"));
+        CHECK(hasFault(readWithRequired({}), "AZUREHILL_TRAFFIC_THREADS", "65"));
     }
     SUBCASE("numbers are read whole and within their range")
     {
         for (const char *bad : {"", "1x", " 1", "-1", "99999999999999999999", "1048577"})
-            CHECK(hasFault(readWith({"--max-header-bytes", bad}), "--max-header-bytes", bad));
+            CHECK(
+                hasFault(readWithRequired({"--max-header-bytes", bad}), "--max-header-bytes", bad));
     }
     SUBCASE("settings that contradict each other are a fault")
     {
-        CHECK(hasFault(
-            readWith({"--commit-first-retry-ms", "500", "--commit-longest-retry-ms", "400"}),
-            "--commit-longest-retry-ms", "400"));
+        CHECK(hasFault(readWithRequired(
+                           {"--commit-first-retry-ms", "500", "--commit-longest-retry-ms", "400"}),
+                       "--commit-longest-retry-ms", "400"));
     }
     SUBCASE("a name that would break row keys is refused")
     {
-        CHECK(hasFault(readWith({"--cell", "a/b"}), "--cell", "a/b"));
+        CHECK(hasFault(readWithRequired({"--cell", "a/b"}), "--cell", "a/b"));
     }
     SUBCASE("a secret is not repeated")
     {
-        CHECK(hasFault(readWith({"--inner-token", ""}), "--inner-token", ""));
+        CHECK(hasFault(readWithRequired({"--inner-token", ""}), "--inner-token", ""));
     }
     SUBCASE("with nothing given, each that must be is named")
     {
@@ -128,9 +130,9 @@
 
 TEST_CASE("Help names every flag with its variable and default")
 {
-    const std::string help = readWith({"--help"}).helpText;
+    const std::string help = readWithRequired({"--help"}).helpText;
     for (const char *part : {"--traffic-threads", "AZUREHILL_TRAFFIC_THREADS", "--max-body-bytes",
                              "--peers", "--log-level", "4194304", "--version"})
         CHECK_MESSAGE(help.find(part) != std::string::npos, part);
-    CHECK(readWith({"--version"}).versionOnly);
+    CHECK(readWithRequired({"--version"}).versionOnly);
 }
--- a/test/logic/account_test.cpp
+++ b/test/logic/account_test.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-account_rule rule(const std::string &name, const std::vector<std::string> &keys)
+account_config rule(const std::string &name, const std::vector<std::string> &keys)
 {
-    account_rule r;
+    account_config r;
     r.name = {name};
     for (const std::string &key : keys)
         r.keys.push_back(digestOf(key));
@@ -43,56 +43,56 @@
 
 TEST_CASE("a request is judged by the accounts in force")
 {
-    const auto book = account_book::make({rule("a", {"k1", "k2"}), rule("b", {"k3"})});
+    const auto book = account_registry::make({rule("a", {"k1", "k2"}), rule("b", {"k3"})});
     REQUIRE(book);
     const credential known = digestOf("k2");
     const credential unknown = digestOf("k9");
 
     SUBCASE("a known key belongs to its account")
     {
-        const access got = judgeAccess(*book, false, known);
+        const access got = checkAccess(*book, false, known);
         CHECK(got.verdict == access_verdict::Allowed);
         REQUIRE(got.account);
         CHECK(got.account->name.value == "a");
     }
     SUBCASE("an unknown key is refused, also on a public route")
     {
-        CHECK(judgeAccess(*book, false, unknown).verdict == access_verdict::UnknownKey);
-        CHECK(judgeAccess(*book, true, unknown).verdict == access_verdict::UnknownKey);
+        CHECK(checkAccess(*book, false, unknown).verdict == access_verdict::UnknownKey);
+        CHECK(checkAccess(*book, true, unknown).verdict == access_verdict::UnknownKey);
     }
     SUBCASE("only a public route takes requests without a key")
     {
-        CHECK(judgeAccess(*book, false, no_credential()).verdict == access_verdict::NoKey);
-        CHECK(judgeAccess(*book, true, no_credential()).verdict == access_verdict::Allowed);
-        CHECK(judgeAccess(*book, true, no_credential()).account == nullptr);
-        CHECK(judgeAccess(*book, true, bad_credential()).verdict == access_verdict::NoKey);
+        CHECK(checkAccess(*book, false, no_credential()).verdict == access_verdict::NoKey);
+        CHECK(checkAccess(*book, true, no_credential()).verdict == access_verdict::Allowed);
+        CHECK(checkAccess(*book, true, no_credential()).account == nullptr);
+        CHECK(checkAccess(*book, true, invalid_credential()).verdict == access_verdict::NoKey);
     }
     SUBCASE("on a public route a known key still tells the account")
     {
-        CHECK(judgeAccess(*book, true, known).account->name.value == "a");
+        CHECK(checkAccess(*book, true, known).account->name.value == "a");
     }
     SUBCASE("without accounts nobody needs a key")
     {
-        CHECK(judgeAccess({}, false, unknown).verdict == access_verdict::Allowed);
-        CHECK(judgeAccess({}, false, no_credential()).verdict == access_verdict::Allowed);
+        CHECK(checkAccess({}, false, unknown).verdict == access_verdict::Allowed);
+        CHECK(checkAccess({}, false, no_credential()).verdict == access_verdict::Allowed);
     }
 }
 
 TEST_CASE("accounts that can't be in force together are refused whole")
 {
-    CHECK_FALSE(account_book::make({rule("a", {"k"}), rule("b", {"k"})}));
-    CHECK_FALSE(account_book::make({rule("a", {"k"}), rule("a", {"l"})}));
-    CHECK_FALSE(account_book::make({rule("", {"k"})}));
-    CHECK_FALSE(account_book::make({rule("a\r\nX-Other: b", {"k"})}));
-    CHECK_FALSE(account_book::make({rule(std::string(1000, 'a'), {"k"})}));
+    CHECK_FALSE(account_registry::make({rule("a", {"k"}), rule("b", {"k"})}));
+    CHECK_FALSE(account_registry::make({rule("a", {"k"}), rule("a", {"l"})}));
+    CHECK_FALSE(account_registry::make({rule("", {"k"})}));
+    CHECK_FALSE(account_registry::make({rule("a\r\nX-Other: b", {"k"})}));
+    CHECK_FALSE(account_registry::make({rule(std::string(1000, 'a'), {"k"})}));
 
     SUBCASE("one account may name a key twice, and have none")
     {
-        CHECK(account_book::make({rule("a", {"k", "k"}), rule("b", {})}));
+        CHECK(account_registry::make({rule("a", {"k", "k"}), rule("b", {})}));
     }
     SUBCASE("a key may be another account's in the next version")
     {
-        const auto next = account_book::make({rule("a", {}), rule("b", {"k"})});
+        const auto next = account_registry::make({rule("a", {}), rule("b", {"k"})});
         REQUIRE(next);
         CHECK(next->holder(digestOf("k"))->name.value == "b");
     }
@@ -102,7 +102,7 @@
         keys.reserve(10'000);
         for (int i = 0; i < 10'000; ++i)
             keys.push_back(fmt::format("key-{}", i));
-        const auto book = account_book::make({rule("a", keys)});
+        const auto book = account_registry::make({rule("a", keys)});
         REQUIRE(book);
         CHECK(book->holder(digestOf("key-9999"))->name.value == "a");
     }
--- a/test/logic/capacity_growth_test.cpp
+++ b/test/logic/capacity_growth_test.cpp
@@ -243,10 +243,11 @@
             for (int ms = 0, turns = 0; ms < 1000; ++ms) {
                 const time_point now(milliseconds(1000 + ms));
                 for (; turns * 1000 < ms * programs; ++turns)
-                    batcher.append({makeBegun(numberedProgram(turns), 1)}, commit_need::Kept, now);
+                    batcher.append({makeBegun(numberedProgram(turns), 1)},
+                                   commit_policy::MustCommit, now);
                 for (const commit_action &a : batcher.poll(now))
                     written += std::holds_alternative<write_batch>(a);
-                batcher.onAnswer(batch_answer::Written, now);
+                batcher.onAnswer(batch_outcome::Written, now);
             }
             writes.push_back({static_cast<double>(programs), static_cast<double>(written)});
         }
--- a/test/logic/cell_model.h
+++ b/test/logic/cell_model.h
@@ -41,12 +41,12 @@
         }
         view = change.next;
         view.version = ++lastVersion;
-        for (const daemon_id &id : change.dropLeases)
+        for (const daemon_id &id : change.leasesToDelete)
             leases.erase(id);
         return true;
     }
 
-    bool apply(const drop_lease &drop)
+    bool apply(const delete_lease &drop)
     {
         if (leaseVersion(drop.lease.daemon) != drop.lease.version)
             return false;
@@ -76,7 +76,7 @@
 
 /// What befalls one request to the table.
 enum class fault { None, Lost, AnswerLost, AppliedLate, AnswerLate, AnswerTwice };
-constexpr int faultKinds = 6;
+constexpr int faultCount = 6;
 
 struct node
 {
@@ -85,14 +85,14 @@
     bool paused = false;
     time_point pausedAt;
     std::unique_ptr<ownership_history> history;
-    fencing_number lastSeen = 0;
+    fencing_number lastSeenView = 0;
     fencing_number loadedView = 0;
     /// Commits of each program that the daemon's memory knows of.
     std::map<program_id, int> book;
     std::set<program_id> running;
 };
 
-inline std::vector<program_id> somePrograms()
+inline std::vector<program_id> testPrograms()
 {
     constexpr int count = 12;
     std::vector<program_id> result;
@@ -184,17 +184,17 @@
     void load(int i)
     {
         node &n = at(i);
-        if (!n.logic || n.paused || n.lastSeen == n.loadedView)
+        if (!n.logic || n.paused || n.lastSeenView == n.loadedView)
             return;
         const bool reads = n.history->mayHaveGainedSince(n.loadedView);
-        for (const program_id &id : somePrograms()) {
-            if (n.history->heldSince(id, n.loadedView))
+        for (const program_id &id : testPrograms()) {
+            if (n.history->ownedSince(id, n.loadedView))
                 continue;
             n.book.erase(id);
             if (reads)
                 n.book[id] = m_commits[id];
         }
-        n.loadedView = n.lastSeen;
+        n.loadedView = n.lastSeenView;
     }
 
     /// \brief Lets \p i begin (or go on with) a call of \p id, as far as it may.
@@ -203,7 +203,7 @@
         node &n = at(i);
         if (!canCommit(n, id))
             return;
-        if (n.logic->staysHere(id) || n.running.count(id) > 0U) {
+        if (n.logic->ownsWithoutPendingMove(id) || n.running.count(id) > 0U) {
             n.running.insert(id);
             commit(n, id);
         }
@@ -219,12 +219,12 @@
     }
 
     /// \brief Takes the next step of a drain that has begun.
-    void goOnDraining(int i)
+    void continueDrain(int i)
     {
         node &n = at(i);
         if (!n.logic || n.paused)
             return;
-        if (n.running.empty() && n.logic->isEmptied())
+        if (n.running.empty() && n.logic->isDrained())
             n.logic->leave();
         if (n.logic->hasLeft())
             crash(i);
@@ -312,7 +312,7 @@
                 if (const auto *change = std::get_if<change_view>(&action))
                     applyChange(*change, i);
                 else
-                    m_table.apply(std::get<drop_lease>(action));
+                    m_table.apply(std::get<delete_lease>(action));
                 return [](membership &) {};
             });
         }
@@ -328,23 +328,23 @@
         for (const member &m : before.members) {
             const int i = m.daemon.value[0] - 'a';
             if (i != by && !m_table.view.find(m.daemon))
-                checkGone(at(i), m);
+                checkRemovedMember(at(i), m);
         }
         for (const node &n : m_nodes) {
             for (const program_id &root : n.running)
-                checkKept(n, root);
+                checkCallCanCommit(n, root);
         }
     }
 
     /// A member that others removed must not be one that lives and renews.
-    void checkGone(const node &n, const member &m)
+    void checkRemovedMember(const node &n, const member &m)
     {
         if (n.logic && n.logic->self().incarnation == m.incarnation)
             RC_ASSERT(!n.logic->isActive(m_now));
     }
 
     /// A call that runs on a daemon with a lease must be able to commit its end.
-    void checkKept(const node &n, const program_id &root)
+    void checkCallCanCommit(const node &n, const program_id &root)
     {
         if (n.logic && n.logic->isActive(m_now))
             RC_ASSERT(isOwner(n, root));
@@ -359,8 +359,8 @@
     void noteView(node &n)
     {
         const cell_view &view = n.logic->view();
-        if (view.number > n.lastSeen) {
-            n.lastSeen = view.number;
+        if (view.number > n.lastSeenView) {
+            n.lastSeenView = view.number;
             n.history->onView(view);
         }
     }
@@ -390,7 +390,7 @@
 inline void settle(cell &c, int size)
 {
     // A join waits for the next renewal of each other member after its own announcement.
-    const time_point until = c.now() + removalBound + 2 * lease.renewEvery + 6 * pollPeriod;
+    const time_point until = c.now() + removalBound + 2 * lease.renewalInterval + 6 * pollPeriod;
     while (c.now() < until) {
         for (int i = 0; i < size; ++i)
             c.round(i);
--- a/test/logic/commit_batcher_test.cpp
+++ b/test/logic/commit_batcher_test.cpp
@@ -38,7 +38,7 @@
             rows.emplace(w.key, landed{w.what.batch, rows.size()});
         return ok;
     }
-    void landLate(unsigned luck)
+    void applyLateWrite(unsigned luck)
     {
         const std::size_t i = luck % late.size();
         apply(late[i]);
@@ -75,7 +75,7 @@
         const auto at = std::find(programs.begin(), programs.end(), id) - programs.begin();
         return table.owners[view][static_cast<std::size_t>(at)] == index;
     }
-    void append(const program_id &id, commit_need need, time_point now)
+    void append(const program_id &id, commit_policy need, time_point now)
     {
         const std::string key = std::to_string(index) + "-" + std::to_string(++lastKey);
         const auto ticket
@@ -110,15 +110,15 @@
         const std::string key
             = rowKey("c", write ? write->batch : std::get<read_back>(action).batch);
         const bool there = table.rows.count(key) > 0;
-        batch_answer answer = there ? batch_answer::Written : batch_answer::Absent;
+        batch_outcome answer = there ? batch_outcome::Written : batch_outcome::Absent;
         if (luck % 5 == 1)
-            answer = batch_answer::Unavailable;
+            answer = batch_outcome::Unavailable;
         else if (write && luck % 5 == 2) // the answer is lost, with or without effect
-            (table.apply({*write, key}), answer = batch_answer::Unknown);
+            (table.apply({*write, key}), answer = batch_outcome::Unknown);
         else if (write && luck % 5 == 3) // the write takes effect later, or never
-            (table.late.push_back({*write, key}), answer = batch_answer::Unknown);
+            (table.late.push_back({*write, key}), answer = batch_outcome::Unknown);
         else if (write && !there)
-            answer = table.apply({*write, key}) ? batch_answer::Written : batch_answer::Fenced;
+            answer = table.apply({*write, key}) ? batch_outcome::Written : batch_outcome::Fenced;
         answers.push_back(answer);
         if (luck % 2 == 0)
             hear(now);
@@ -127,7 +127,7 @@
     {
         if (answers.empty())
             return;
-        const batch_answer a = answers.front();
+        const batch_outcome a = answers.front();
         answers.erase(answers.begin());
         take(batcher.onAnswer(a, now));
     }
@@ -146,10 +146,10 @@
     std::map<commit_ticket, appended> open;
     std::vector<std::pair<appended, commit_result>> ended;
     std::optional<commit_action> asked;
-    std::vector<batch_answer> answers;
+    std::vector<batch_outcome> answers;
 };
 
-void checkPromises(const table_model &table, const std::vector<daemon_model *> &daemons)
+void checkInvariants(const table_model &table, const std::vector<daemon_model *> &daemons)
 {
     std::map<std::string, std::pair<fencing_number, int>> written; // key: fence, count
     std::map<program_id, std::map<std::pair<fencing_number, std::uint64_t>, std::size_t>> history;
@@ -195,8 +195,8 @@
         case 1:
         case 2:
         case 3:
-            d.append(programs[luck % 3], luck % 2 != 0 ? commit_need::Kept : commit_need::Refusable,
-                     now);
+            d.append(programs[luck % 3],
+                     luck % 2 != 0 ? commit_policy::MustCommit : commit_policy::Refusable, now);
             break;
         case 4:
         case 5:
@@ -215,7 +215,7 @@
         case 11:
         case 12: // a late write and a view meet, in one order or the other
             if (!table.late.empty() && luck % 4 != 0)
-                table.landLate(luck);
+                table.applyLateWrite(luck);
             if (luck % 8 > 2)
                 table.owners.push_back({static_cast<int>(luck / 8 % 2),
                                         static_cast<int>(luck / 16 % 2),
@@ -227,7 +227,7 @@
             d.learn();
             break;
         }
-        checkPromises(table, daemons);
+        checkInvariants(table, daemons);
     }
     // The network heals; what is late may still land before each step.
     for (int i = 0; i < 60; ++i) {
@@ -239,9 +239,9 @@
             d->hear(now);
         }
         if (!table.late.empty())
-            table.landLate(0);
+            table.applyLateWrite(0);
     }
-    checkPromises(table, daemons);
+    checkInvariants(table, daemons);
     RC_ASSERT(a.open.empty());
     RC_ASSERT(b.open.empty());
 }
@@ -266,11 +266,11 @@
     table_model table;
     daemon_model d(table, 0);
     time_point now{};
-    d.append(programs[0], commit_need::Kept, now);
-    d.append(programs[1], commit_need::Kept, now);
+    d.append(programs[0], commit_policy::MustCommit, now);
+    d.append(programs[1], commit_policy::MustCommit, now);
     d.take(d.batcher.poll(now));
     d.asked.reset();
-    d.take(d.batcher.onAnswer(batch_answer::Unknown, now));
+    d.take(d.batcher.onAnswer(batch_outcome::Unknown, now));
     table.owners.push_back({1, 0, 1});
     d.learn();
     CHECK(d.ended.empty());
@@ -294,19 +294,19 @@
 
     SUBCASE("new work is refused at once, and what ran is kept until the store is back")
     {
-        d.append(programs[0], commit_need::Kept, now);
-        d.append(programs[0], commit_need::Refusable, now);
+        d.append(programs[0], commit_policy::MustCommit, now);
+        d.append(programs[0], commit_policy::Refusable, now);
         for (int i = 0; i < 3600; ++i) {
             now += seconds(1);
             d.take(d.batcher.poll(now));
             if (std::exchange(d.asked, std::nullopt))
-                d.take(d.batcher.onAnswer(batch_answer::Unavailable, now));
+                d.take(d.batcher.onAnswer(batch_outcome::Unavailable, now));
         }
         REQUIRE(d.ended.size() == 1);
         CHECK(d.ended[0].second == commit_result::Refused);
-        CHECK(d.batcher.append({record}, commit_need::Refusable, now).error()
+        CHECK(d.batcher.append({record}, commit_policy::Refusable, now).error()
               == append_error::Busy);
-        CHECK(d.batcher.append({record}, commit_need::Kept, now).has_value());
+        CHECK(d.batcher.append({record}, commit_policy::MustCommit, now).has_value());
         now += seconds(2);
         d.take(d.batcher.poll(now));
         d.network(0, now);
@@ -314,9 +314,9 @@
     }
     SUBCASE("a record that waits behind a stuck write is refused when its time is over")
     {
-        d.append(programs[0], commit_need::Kept, now);
+        d.append(programs[0], commit_policy::MustCommit, now);
         d.take(d.batcher.poll(now));
-        d.append(programs[0], commit_need::Refusable, now);
+        d.append(programs[0], commit_policy::Refusable, now);
         now = *d.batcher.wakeAt();
         d.take(d.batcher.poll(now));
         REQUIRE(d.ended.size() == 1);
@@ -362,7 +362,8 @@
         table_model table;
         daemon_model d(table, 0);
         large.reply.resize(9'000'000, 'x');
-        CHECK(d.batcher.append({large}, commit_need::Kept, {}).error() == append_error::TooLarge);
+        CHECK(d.batcher.append({large}, commit_policy::MustCommit, {}).error()
+              == append_error::TooLarge);
         CHECK(d.batcher.poll({}).empty());
     }
 }
--- a/test/logic/config_diff_test.cpp
+++ b/test/logic/config_diff_test.cpp
@@ -9,13 +9,13 @@
     const std::string before = R"({"tenants":{"a":{"weight":1}},"list":[1,2],"gone":true})";
     SUBCASE("equal documents have no changes, whatever the order of their keys")
     {
-        CHECK(changesBetween(before, R"({"list":[1,2],"gone":true,"tenants":{"a":{"weight":1}}})")
-                  .empty());
+        CHECK(
+            diffJson(before, R"({"list":[1,2],"gone":true,"tenants":{"a":{"weight":1}}})").empty());
     }
     SUBCASE("changed, added and removed values are named")
     {
-        const auto changes = changesBetween(
-            before, R"({"tenants":{"a":{"weight":2},"b":{"weight":3}},"list":[1]})");
+        const auto changes
+            = diffJson(before, R"({"tenants":{"a":{"weight":2},"b":{"weight":3}},"list":[1]})");
         REQUIRE(changes.size() == 4);
         CHECK(changes[0].path == "/gone");
         CHECK(changes[0].after.empty());
--- a/test/logic/config_follower_test.cpp
+++ b/test/logic/config_follower_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::int64_t firstMs = 1'000'000;
+constexpr std::int64_t startMs = 1'000'000;
 
 std::shared_ptr<const configuration> anyConfig()
 {
@@ -32,13 +32,14 @@
     return {{n, "id" + std::to_string(n), "ana", acceptedMs, activateMs, anyConfig()}, {}};
 }
 
-std::optional<proposal_error> refusalOf(const tl::expected<config_document, proposal_error> &p)
+std::optional<proposal_error>
+proposalErrorOf(const tl::expected<config_document, proposal_error> &p)
 {
     return p ? std::nullopt : std::optional(p.error());
 }
 
 /// \returns why no version decides; nothing when one does.
-std::optional<preset_doubt> doubtOf(const config_follower &f, time_point now)
+std::optional<preset_unavailable_reason> unavailableReason(const config_follower &f, time_point now)
 {
     const auto decided = f.inForce(now);
     return decided ? std::nullopt : std::optional(decided.error());
@@ -73,7 +74,7 @@
     bool isWrite = false;
     bool reachedStore = false;
     std::optional<config_document> document;
-    std::optional<peer_config> peer;
+    std::optional<peer_config_response> peer;
     std::int64_t platformMs = 0;
 };
 
@@ -86,14 +87,14 @@
     std::int64_t outageTo = 0;
     std::vector<message> messages;
     config_number lastUsed = 0;
-    std::int64_t doubtSince = 0;
+    std::int64_t lastEffectiveMs = 0;
 
     time_point clock(std::int64_t ms) const { return at(ms + clockOffset); }
     bool isCutOff(std::int64_t ms) const { return ms >= outageFrom && ms < outageTo; }
 };
 
 constexpr std::int64_t stepMs = 10;
-constexpr std::int64_t lengthMs = 25'000;
+constexpr std::int64_t durationMs = 25'000;
 
 class simulation
 {
@@ -104,22 +105,22 @@
         for (node &n : m_nodes) {
             n.clockOffset = *rc::gen::inRange<std::int64_t>(0, 1'000'000);
             if (m_faulty && *rc::gen::inRange(0, 2) == 0) {
-                n.outageFrom = firstMs + *rc::gen::inRange<std::int64_t>(0, lengthMs);
+                n.outageFrom = startMs + *rc::gen::inRange<std::int64_t>(0, durationMs);
                 n.outageTo = n.outageFrom + *rc::gen::inRange<std::int64_t>(0, 10'000);
             }
         }
         const auto writes = *rc::gen::inRange(1, 6);
         for (int i = 0; i < writes; ++i)
             m_writeTimes.push_back(
-                firstMs + *rc::gen::inRange<std::int64_t>(0, lengthMs / stepMs) * stepMs);
+                startMs + *rc::gen::inRange<std::int64_t>(0, durationMs / stepMs) * stepMs);
         // The first configuration, and a race of two operators.
-        m_writeTimes.push_back(firstMs + 1000);
-        m_raceAt = firstMs + 8000;
+        m_writeTimes.push_back(startMs + 1000);
+        m_raceAt = startMs + 8000;
     }
 
     void run()
     {
-        for (std::int64_t now = firstMs; now < firstMs + lengthMs; now += stepMs) {
+        for (std::int64_t now = startMs; now < startMs + durationMs; now += stepMs) {
             for (node &n : m_nodes) {
                 deliver(n, now);
                 poll(n, now);
@@ -202,9 +203,9 @@
             if (!arrived(m) || m.lost || m.isWrite)
                 continue;
             if (m.peer)
-                n.follower.onPeer(n.clock(m.sentAt), n.clock(now), *m.peer);
+                n.follower.onPeerResponse(n.clock(m.sentAt), n.clock(now), *m.peer);
             else
-                n.follower.onStore(n.clock(m.sentAt), n.clock(now), m.document, m.platformMs);
+                n.follower.onStoreRead(n.clock(m.sentAt), n.clock(now), m.document, m.platformMs);
         }
         n.messages.erase(std::remove_if(n.messages.begin(), n.messages.end(), arrived),
                          n.messages.end());
@@ -231,12 +232,12 @@
     void checkConnected(node &n, bool decides, std::int64_t now)
     {
         if (decides)
-            n.doubtSince = now;
+            n.lastEffectiveMs = now;
         if (n.lastUsed == 0)
             return;
         // Nobody refuses work for longer than the errors of the clock around each change.
         const auto changes = static_cast<std::int64_t>(m_acceptedAt.size());
-        RC_ASSERT(now - n.doubtSince <= 300 * changes);
+        RC_ASSERT(now - n.lastEffectiveMs <= 300 * changes);
         for (const auto &[number, acceptedAt] : m_acceptedAt) {
             if (now >= acceptedAt + 5000)
                 RC_ASSERT(n.lastUsed >= number); // in force everywhere within 5 s
@@ -256,26 +257,26 @@
 TEST_CASE("A follower adopts versions forwards only")
 {
     config_follower f;
-    f.onStore(at(0), at(10), versionOf(1, 0, 0), 1000);
-    f.onStore(at(1000), at(1010), versionOf(2, 1990, 5990), 2000);
+    f.onStoreRead(at(0), at(10), versionOf(1, 0, 0), 1000);
+    f.onStoreRead(at(1000), at(1010), versionOf(2, 1990, 5990), 2000);
 
     SUBCASE("an old read that arrives late changes nothing")
     {
-        f.onStore(at(900), at(2900), versionOf(1, 0, 0), 1950);
+        f.onStoreRead(at(900), at(2900), versionOf(1, 0, 0), 1950);
         CHECK(f.head()->number == 2);
     }
     SUBCASE("and does not confirm the head")
     {
-        f.onStore(at(3000), at(3700), versionOf(1, 0, 0), std::nullopt);
-        CHECK(doubtOf(f, at(3700)) == preset_doubt::Unconfirmed);
+        f.onStoreRead(at(3000), at(3700), versionOf(1, 0, 0), std::nullopt);
+        CHECK(unavailableReason(f, at(3700)) == preset_unavailable_reason::Unconfirmed);
     }
     SUBCASE("the version before is in force until the activation")
     {
-        f.onStore(at(3000), at(3010), versionOf(2, 1990, 5990), 4000);
+        f.onStoreRead(at(3000), at(3010), versionOf(2, 1990, 5990), 4000);
         CHECK(f.inForce(at(4900))->number == 1);
         SUBCASE("around it neither is, within the error of the clock")
         {
-            CHECK(doubtOf(f, at(4990)) == preset_doubt::Changing);
+            CHECK(unavailableReason(f, at(4990)) == preset_unavailable_reason::Changing);
         }
         SUBCASE("after it the new one is")
         {
@@ -285,7 +286,7 @@
     SUBCASE("without a confirmation within its validity nothing is in force")
     {
         CHECK(f.inForce(at(3499)).has_value());
-        CHECK(doubtOf(f, at(3500)) == preset_doubt::Unconfirmed);
+        CHECK(unavailableReason(f, at(3500)) == preset_unavailable_reason::Unconfirmed);
         SUBCASE("but what presets don't decide goes on")
         {
             CHECK(f.current(at(60'000))->number == 2);
@@ -293,8 +294,8 @@
         SUBCASE("until a peer's confirmation comes")
         {
             config_follower peer;
-            peer.onStore(at(3400), at(3405), versionOf(2, 1990, 5990), 4400);
-            f.onPeer(at(3500), at(3510), *peer.forPeer(at(3505)));
+            peer.onStoreRead(at(3400), at(3405), versionOf(2, 1990, 5990), 4400);
+            f.onPeerResponse(at(3500), at(3510), *peer.forPeer(at(3505)));
             CHECK(f.inForce(at(3510))->number == 1);
         }
     }
@@ -309,37 +310,38 @@
     config_follower before;
     config_follower after;
     for (config_follower *f : {&before, &after})
-        f->onStore(at(0), at(2), versionOf(1, 0, 0), 0);
-    before.onStore(at(6000), at(6002), versionOf(1, 0, 0), 6000);
-    after.onStore(at(6010), at(6012), versionOf(2, 1000, 5000), 6010);
+        f->onStoreRead(at(0), at(2), versionOf(1, 0, 0), 0);
+    before.onStoreRead(at(6000), at(6002), versionOf(1, 0, 0), 6000);
+    after.onStoreRead(at(6010), at(6012), versionOf(2, 1000, 5000), 6010);
     CHECK(before.inForce(at(8400))->number == 1);
-    CHECK(doubtOf(after, at(8400)) == preset_doubt::Changing);
-    CHECK(doubtOf(before, at(8500)) == preset_doubt::Unconfirmed);
-    after.onStore(at(8500), at(8502), versionOf(2, 1000, 5000), 8500);
+    CHECK(unavailableReason(after, at(8400)) == preset_unavailable_reason::Changing);
+    CHECK(unavailableReason(before, at(8500)) == preset_unavailable_reason::Unconfirmed);
+    after.onStoreRead(at(8500), at(8502), versionOf(2, 1000, 5000), 8500);
     CHECK(after.inForce(at(8530))->number == 2);
 }
 
 TEST_CASE("A change is made to the version that its operator saw")
 {
     config_follower f;
-    CHECK(refusalOf(f.propose(anyConfig(), "a", "ana", 0, at(0))) == proposal_error::NoTime);
-    f.onStore(at(0), at(2), std::nullopt, 5000);
+    CHECK(proposalErrorOf(f.propose(anyConfig(), "a", "ana", 0, at(0))) == proposal_error::NoTime);
+    f.onStoreRead(at(0), at(2), std::nullopt, 5000);
     const auto first = f.propose(anyConfig(), "a", "ana", 0, at(2));
     REQUIRE(first);
     CHECK(first->head.activateMs == first->head.acceptedMs);
-    f.onStore(at(4), at(6), *first, 5004);
-    CHECK(refusalOf(f.propose(anyConfig(), "b", "ana", 0, at(7))) == proposal_error::Conflict);
+    f.onStoreRead(at(4), at(6), *first, 5004);
+    CHECK(proposalErrorOf(f.propose(anyConfig(), "b", "ana", 0, at(7)))
+          == proposal_error::Conflict);
 
     SUBCASE("it comes into force after it, however wrong that one's writer knew the time")
     {
-        f.onStore(at(100), at(102), versionOf(2, 16'000, 20'000), 5100);
+        f.onStoreRead(at(100), at(102), versionOf(2, 16'000, 20'000), 5100);
         CHECK(f.propose(anyConfig(), "c", "ben", 2, at(110))->head.activateMs == 20'001);
     }
     SUBCASE("a change of a change that still waits keeps the order")
     {
         const auto second = f.propose(anyConfig(), "b", "ana", 1, at(100));
         REQUIRE(second);
-        f.onStore(at(100), at(102), *second, 5100);
+        f.onStoreRead(at(100), at(102), *second, 5100);
         const auto third = f.propose(anyConfig(), "c", "ben", 2, at(101));
         REQUIRE(third);
         CHECK(third->head.activateMs > second->head.activateMs);
--- a/test/logic/config_text_test.cpp
+++ b/test/logic/config_text_test.cpp
@@ -35,17 +35,17 @@
     return boost::json::serialize(v);
 }
 
-bool namesKey(const std::string &page, std::string_view key)
+bool mentionsKey(const std::string &page, std::string_view key)
 {
     return page.find(fmt::format("`{}`", key)) != std::string::npos;
 }
 
-bool hasFaultAt(const std::string &text, const std::string &path)
+bool hasErrorAt(const std::string &text, const std::string &path)
 {
     const auto parsed = parseConfiguration(text);
     return !parsed
         && std::any_of(parsed.error().begin(), parsed.error().end(),
-                       [&](const config_fault &f) { return f.path == path; });
+                       [&](const config_error &f) { return f.path == path; });
 }
 
 } // namespace
@@ -67,13 +67,13 @@
         const std::string page = readDoc("CONFIGURATION.md");
         const auto whole = boost::json::parse(toText(*parsed));
         for (const auto &[section, members] : whole.as_object()) {
-            CHECK(namesKey(page, std::string(section)));
+            CHECK(mentionsKey(page, std::string(section)));
             if (!members.is_object())
                 continue;
             for (const auto &member : members.as_object()) {
                 for (const auto &knob : member.value().as_object()) {
                     const std::string key(knob.key());
-                    CHECK_MESSAGE(namesKey(page, key), key);
+                    CHECK_MESSAGE(mentionsKey(page, key), key);
                 }
             }
         }
@@ -84,23 +84,23 @@
 {
     SUBCASE("values out of their range or of another kind")
     {
-        CHECK(hasFaultAt(changed("/tenants/school/weight", "0"), "/tenants/school/weight"));
+        CHECK(hasErrorAt(changed("/tenants/school/weight", "0"), "/tenants/school/weight"));
         CHECK(
-            hasFaultAt(changed("/classes/lesson/max_turns", "\"9\""), "/classes/lesson/max_turns"));
-        CHECK(hasFaultAt(changed("/classes/lesson/idle_ms", "1e99"), "/classes/lesson/idle_ms"));
-        CHECK(hasFaultAt(changed("/presets/peak/retry_percent", "101"),
+            hasErrorAt(changed("/classes/lesson/max_turns", "\"9\""), "/classes/lesson/max_turns"));
+        CHECK(hasErrorAt(changed("/classes/lesson/idle_ms", "1e99"), "/classes/lesson/idle_ms"));
+        CHECK(hasErrorAt(changed("/presets/peak/retry_percent", "101"),
                          "/presets/peak/retry_percent"));
     }
     SUBCASE("unknown keys")
     {
-        CHECK(hasFaultAt(changed("/services/proof/colour", "1"), "/services/proof/colour"));
+        CHECK(hasErrorAt(changed("/services/proof/colour", "1"), "/services/proof/colour"));
     }
     SUBCASE("what must be given")
     {
-        CHECK(hasFaultAt(changed("/presets/peak", ""), "/presets"));
-        CHECK(hasFaultAt(changed("/tenants/school/token_sha256", ""),
+        CHECK(hasErrorAt(changed("/presets/peak", ""), "/presets"));
+        CHECK(hasErrorAt(changed("/tenants/school/token_sha256", ""),
                          "/tenants/school/token_sha256"));
-        CHECK(hasFaultAt(changed("/services/story-model/models", ""),
+        CHECK(hasErrorAt(changed("/services/story-model/models", ""),
                          "/services/story-model/models"));
     }
     SUBCASE("several at once")
--- a/test/logic/failure_detector_test.cpp
+++ b/test/logic/failure_detector_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const detector_settings rules;
+const failure_detector_settings rules;
 
 /// \brief Detectors of one cell; some daemons are dead, some paused, some pairs cut from each
 /// other.
@@ -32,7 +32,7 @@
     {
         failure_detector &sender = detectors[static_cast<std::size_t>(from)];
         failure_detector &receiver = detectors[static_cast<std::size_t>(to)];
-        if (dead.count(to) > 0U || refusedTo.count({from, to}) > 0U) {
+        if (dead.count(to) > 0U || refusedLinks.count({from, to}) > 0U) {
             sender.onRefused(run(to), now);
             return;
         }
@@ -60,7 +60,7 @@
     std::set<int> dead;
     std::set<int> paused;
     std::set<std::pair<int, int>> cut;
-    std::set<std::pair<int, int>> refusedTo;
+    std::set<std::pair<int, int>> refusedLinks;
     time_point now = start;
 };
 
@@ -82,7 +82,7 @@
         run(r, seconds(2));
         const int victim = *rc::gen::inRange(0, size);
         r.dead.insert(victim);
-        run(r, 2 * rules.beatEvery + tickStep);
+        run(r, 2 * rules.heartbeatInterval + tickStep);
         int knowing = 0;
         for (int i = 0; i < size; ++i) {
             const auto refusing = r.detectors[static_cast<std::size_t>(i)].refusing(r.now);
@@ -116,7 +116,7 @@
                 r.paused.erase(a);
                 break;
             case 4:
-                r.refusedTo.insert({liar, b});
+                r.refusedLinks.insert({liar, b});
                 break;
             default:
                 r.tick(milliseconds(*rc::gen::inRange(10, 600)));
@@ -132,10 +132,10 @@
     ring r(5);
     run(r, seconds(2));
     r.paused.insert(2);
-    run(r, rules.suspectAfter + 2 * rules.beatEvery);
+    run(r, rules.silenceTimeout + 2 * rules.heartbeatInterval);
     CHECK(r.detectors[0].suspects(r.now) == std::set<daemon_id>{r.run(2).daemon});
     r.paused.clear();
-    run(r, rules.evidenceLife + 2 * rules.beatEvery);
+    run(r, rules.evidenceTtl + 2 * rules.heartbeatInterval);
     for (const failure_detector &d : r.detectors)
         CHECK(d.suspects(r.now).empty());
 }
@@ -144,7 +144,7 @@
 {
     for (const int size : {1, 2, 4, 20}) {
         const ring r(size);
-        CHECK(successorsOf(r.view, r.run(0).daemon, rules.fanOut).size()
+        CHECK(ringSuccessorsOf(r.view, r.run(0).daemon, rules.fanOut).size()
               == std::min<std::size_t>(rules.fanOut, static_cast<std::size_t>(size) - 1));
     }
 }
@@ -159,19 +159,19 @@
     const member &self = view.members.front();
     failure_detector detector(self.daemon, rules);
     detector.onView(view, start);
-    const member other = successorsOf(view, self.daemon, 1).front();
+    const member other = ringSuccessorsOf(view, self.daemon, 1).front();
     const daemon_run run{other.daemon, other.incarnation};
 
     SUBCASE("refusals that others saw count for their life only")
     {
         const time_point seen = start + milliseconds(100);
-        detector.onEvidence({{run, {"x"}, failure_sign::Refused, duration(0)},
-                             {run, {"y"}, failure_sign::Refused, duration(0)}},
+        detector.onEvidence({{run, {"x"}, failure_kind::Refused, duration(0)},
+                             {run, {"y"}, failure_kind::Refused, duration(0)}},
                             seen);
         CHECK(detector.refusing(seen).count(run) == 1);
         CHECK(detector.suspects(seen).count(run.daemon) == 1);
-        CHECK(detector.refusing(seen + rules.evidenceLife).empty());
-        CHECK(detector.suspects(seen + rules.evidenceLife).empty());
+        CHECK(detector.refusing(seen + rules.evidenceTtl).empty());
+        CHECK(detector.suspects(seen + rules.evidenceTtl).empty());
     }
     SUBCASE("an own sign of life takes back what was told to others")
     {
@@ -183,14 +183,14 @@
     }
     SUBCASE("silence counts from the first heartbeat, not from the view on")
     {
-        const std::vector<member> order = successorsOf(view, self.daemon, view.members.size());
+        const std::vector<member> order = ringSuccessorsOf(view, self.daemon, view.members.size());
         const member &last = order.back();
-        const time_point later = start + rules.suspectAfter + seconds(10);
+        const time_point later = start + rules.silenceTimeout + seconds(10);
         const cell_view smaller{2, 2, {self, last}};
         detector.onView(smaller, later);
         detector.poll(later);
         CHECK(detector.suspects(later).empty());
-        detector.poll(later + rules.suspectAfter);
-        CHECK(detector.suspects(later + rules.suspectAfter).count(last.daemon) == 1);
+        detector.poll(later + rules.silenceTimeout);
+        CHECK(detector.suspects(later + rules.silenceTimeout).count(last.daemon) == 1);
     }
 }
--- a/test/logic/lease_test.cpp
+++ b/test/logic/lease_test.cpp
@@ -36,30 +36,30 @@
     lease_observer observer(rules);
     const duration life = rules.ttl + rules.margin;
     observer.onRead({record(5)}, start, start);
-    CHECK_FALSE(observer.hasLapsed({"a"}, "1"));
+    CHECK_FALSE(observer.hasExpired({"a"}, "1"));
     SUBCASE("after its life, by a read that shows it")
     {
         observer.onRead({record(5)}, start + life, start + life);
-        CHECK(observer.hasLapsed({"a"}, "1"));
-        CHECK_FALSE(observer.hasLapsed({"a"}, "2"));
+        CHECK(observer.hasExpired({"a"}, "1"));
+        CHECK_FALSE(observer.hasExpired({"a"}, "2"));
     }
     SUBCASE("a renewal starts a new life")
     {
         observer.onRead({record(6)}, start + seconds(1), start + seconds(1));
         observer.onRead({record(6)}, start + life, start + life);
-        CHECK_FALSE(observer.hasLapsed({"a"}, "1"));
+        CHECK_FALSE(observer.hasExpired({"a"}, "1"));
     }
     SUBCASE("an old renewal that the table applied late is no sign of life")
     {
         observer.onRead({record(4)}, start + seconds(1), start + seconds(1));
         observer.onRead({record(4)}, start + life, start + life);
-        CHECK(observer.hasLapsed({"a"}, "1"));
+        CHECK(observer.hasExpired({"a"}, "1"));
     }
     SUBCASE("an older read proves nothing")
     {
         observer.onRead({record(6)}, start + seconds(2), start + seconds(2));
         observer.onRead({record(5)}, start, start + life + seconds(3));
-        CHECK_FALSE(observer.hasLapsed({"a"}, "1"));
+        CHECK_FALSE(observer.hasExpired({"a"}, "1"));
         CHECK(observer.row({"a"})->counter == 6);
     }
 }
--- a/test/logic/log_story_test.cpp
+++ b/test/logic/log_story_test.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-log_lines linesOf(const std::string &file)
+parsed_log linesOf(const std::string &file)
 {
     std::string path = AZUREHILL_FIXTURES "/";
     path += file;
     std::ifstream in(path);
     REQUIRE(in);
-    log_lines lines;
+    parsed_log lines;
     readLog(in, file, lines);
     return lines;
 }
@@ -38,7 +38,7 @@
     {
         SUBCASE("a program that ended in an outage of the store")
         {
-            const std::string story = tellStory(linesOf("outage.log"), "5ea74769f1b4f");
+            const std::string story = formatTimeline(linesOf("outage.log"), "5ea74769f1b4f");
             CHECK(contains(story, "detail=store_unavailable"));
             CHECK(contains(story, "retry_after_ms=2000"));
             CHECK(contains(story, "  store_lost detail=status 503"));
@@ -46,14 +46,15 @@
         }
         SUBCASE("a tool call whose answer was lost")
         {
-            const std::string story = tellStory(linesOf("lost_answer.log"), "8f4764d5fa8590e3");
+            const std::string story
+                = formatTimeline(linesOf("lost_answer.log"), "8f4764d5fa8590e3");
             CHECK(contains(story, "end=broken"));
             CHECK(contains(story, "detail=Connection reset by peer"));
             CHECK(contains(story, "replica=i-a0b71a8d9c"));
         }
         SUBCASE("a program that ended on its budget")
         {
-            CHECK(contains(tellStory(linesOf("budget.log"), "fc70975567eaa1"), "tokens_held"));
+            CHECK(contains(formatTimeline(linesOf("budget.log"), "fc70975567eaa1"), "tokens_held"));
         }
     }
 
@@ -66,15 +67,15 @@
             "not a log line\n"
             "{\"time\":\"1\", broken\n"
             "\n");
-        log_lines lines;
+        parsed_log lines;
         readLog(in, "file", lines);
         CHECK(lines.broken == 2);
-        const std::string story = tellStory(lines, "r");
+        const std::string story = formatTimeline(lines, "r");
         CHECK(contains(story, "2 lines could not be read"));
         CHECK(contains(story, "missing: r was sent, and no line tells how that ended"));
         CHECK(contains(story, "missing: no line tells how r was answered"));
         CHECK_FALSE(contains(story, "host-2"));
-        CHECK(contains(tellStory(lines, "other"), "no line names other"));
+        CHECK(contains(formatTimeline(lines, "other"), "no line names other"));
     }
 }
 
@@ -98,10 +99,10 @@
         // thread waited to write its line.
         int ends[2];
         REQUIRE(::pipe(ends) == 0);
-        log_bounds bounds;
-        bounds.waitingBytes = 64U << 10U;
-        bounds.infoPerSecond = 1'000'000;
-        bounds.warningsPerSecond = 1'000'000;
+        log_limits bounds;
+        bounds.maxPendingBytes = 64U << 10U;
+        bounds.maxInfoPerSecond = 1'000'000;
+        bounds.maxWarningsPerSecond = 1'000'000;
         log_sink sink(ends[1], bounds);
         std::thread writer([&] { sink.run(); });
         const std::string line(1000, 'x');
@@ -120,7 +121,7 @@
             };
             while (all.size() < 30'000)
                 readSome();
-            sink.put(log_event::OwnAnswer, "later\n", 5000);
+            sink.put(log_event::LocalReply, "later\n", 5000);
             while (!contains(all, "later"))
                 readSome();
             CHECK(contains(all, "log_dropped"));
@@ -134,9 +135,9 @@
 
     TEST_CASE("lines of one event are bounded, those of failures more generously")
     {
-        log_bounds bounds;
-        bounds.infoPerSecond = 10;
-        bounds.warningsPerSecond = 50;
+        log_limits bounds;
+        bounds.maxInfoPerSecond = 10;
+        bounds.maxWarningsPerSecond = 50;
         log_sink sink(STDERR_FILENO, bounds);
         int admitted = 0;
         const auto tell = [&](log_event event, int lines, std::int64_t nowMs) {
@@ -147,7 +148,7 @@
         tell(log_event::Sent, 20, 1000);
         CHECK(admitted == 10);
         CHECK(sink.dropped() == 10);
-        tell(log_event::OwnAnswer, 60, 1000);
+        tell(log_event::LocalReply, 60, 1000);
         CHECK(admitted == 50);
         CHECK(sink.dropped() == 20);
         tell(log_event::Sent, 1, 2000);
--- a/test/logic/membership_test.cpp
+++ b/test/logic/membership_test.cpp
@@ -32,7 +32,7 @@
     default:
         c.advance(milliseconds(*rc::gen::inRange(0, 120)));
         const bool sound = *rc::gen::inRange(0, 3) > 0;
-        const auto f = sound ? fault::None : fault(*rc::gen::inRange(0, faultKinds));
+        const auto f = sound ? fault::None : fault(*rc::gen::inRange(0, faultCount));
         return c.step(i, *rc::gen::inRange(0, 4), f);
     }
 }
@@ -60,7 +60,7 @@
                 continue;
             RC_ASSERT(listed->incarnation == m->self().incarnation);
             RC_ASSERT(m->isActive(c.now()));
-            RC_ASSERT(takesPrograms(*listed));
+            RC_ASSERT(acceptsPrograms(*listed));
         }
     }));
 }
@@ -114,7 +114,8 @@
     {
         // The network between daemons fails for one of them while it serves and renews on. The
         // others must not take its programs; of a dead one they should, and soon.
-        c.at(0).logic->setRefusing({{makeMember(1, 0).daemon, c.at(1).logic->self().incarnation}});
+        c.at(0).logic->setRunsRefusingConnections(
+            {{makeMember(1, 0).daemon, c.at(1).logic->self().incarnation}});
         for (int i = 0; i < 40; ++i, c.advance(pollPeriod)) {
             for (int n = 0; n < 3; ++n)
                 c.round(n);
@@ -126,7 +127,7 @@
             c.round(0);
             c.advance(pollPeriod);
         }
-        CHECK(c.now() - killed <= 2 * lease.renewEvery + lease.margin + pollPeriod);
+        CHECK(c.now() - killed <= 2 * lease.renewalInterval + lease.margin + pollPeriod);
     }
     SUBCASE("one that leaves takes its lease row along")
     {
--- a/test/logic/ownership_history_test.cpp
+++ b/test/logic/ownership_history_test.cpp
@@ -41,7 +41,7 @@
     }
     SUBCASE("when another gives up what is now this daemon's")
     {
-        for (const program_id &id : somePrograms()) {
+        for (const program_id &id : testPrograms()) {
             view.members[1].keeps = {id};
             change();
             view.members[1].keeps.clear();
@@ -53,19 +53,19 @@
     {
         const auto own
             = [&](const program_id &id) { return ownerOf(view, id)->daemon.value == "a"; };
-        const auto programs = somePrograms();
+        const auto programs = testPrograms();
         const program_id mine = *std::find_if(programs.begin(), programs.end(), own);
-        CHECK(history.heldSince(mine, 1));
-        CHECK_FALSE(history.heldSince(mine, 0));
+        CHECK(history.ownedSince(mine, 1));
+        CHECK_FALSE(history.ownedSince(mine, 0));
         view.members[0].draining = true;
         change();
         view.members[0].draining = false;
         change();
-        CHECK_FALSE(history.heldSince(mine, 1));
-        CHECK(history.heldSince(mine, 3));
+        CHECK_FALSE(history.ownedSince(mine, 1));
+        CHECK(history.ownedSince(mine, 3));
         change(2);
-        CHECK_FALSE(history.heldSince(mine, 3));
-        CHECK(history.heldSince(mine, 5));
+        CHECK_FALSE(history.ownedSince(mine, 3));
+        CHECK(history.ownedSince(mine, 5));
     }
     SUBCASE("when this daemon itself joins")
     {
--- a/test/logic/placement_replay_test.cpp
+++ b/test/logic/placement_replay_test.cpp
@@ -189,7 +189,7 @@
             return world;
         };
         mechanism_set without;
-        without.switchOff(mechanism::CrowdedReads);
+        without.disable(mechanism::PrefillInterference);
         const placement_replay withInterference = replay({});
         const placement_replay withoutInterference = replay(without);
 
@@ -214,7 +214,7 @@
             return world;
         };
         mechanism_set without;
-        without.switchOff(mechanism::SessionHomes);
+        without.disable(mechanism::SessionAffinity);
         const placement_replay withHomes = replay({});
         const placement_replay withoutHomes = replay(without);
         CHECK(mean(withHomes.readTokensPerNewToken, 1, 6) < 1.2);
--- a/test/logic/placement_test.cpp
+++ b/test/logic/placement_test.cpp
@@ -19,7 +19,7 @@
 TEST_CASE("Placement of programs")
 {
     cell_view view = someView(4);
-    const std::vector<program_id> programs = somePrograms();
+    const std::vector<program_id> programs = testPrograms();
     SUBCASE("a family lives on one member")
     {
         for (const program_id &root : programs)
@@ -48,7 +48,7 @@
         view.members[0].draining = true;
         view.members[0].keeps = {programs[3]};
         CHECK(ownerOf(view, programs[3]) == &view.members[0]);
-        CHECK(nextOwnerOf(view, programs[3]) != &view.members[0]);
+        CHECK(ownerAfterPendingChanges(view, programs[3]) != &view.members[0]);
         for (const member *m : preferenceOrder(view, programs[3]))
             CHECK(m != &view.members[0]);
         CHECK(ownerOf(view, programs[4]) != &view.members[0]);
--- a/test/logic/takeover_test.cpp
+++ b/test/logic/takeover_test.cpp
@@ -10,7 +10,7 @@
 
 void ownerStep(cell &c, int i)
 {
-    const auto programs = somePrograms();
+    const auto programs = testPrograms();
     // One bit a program: few random values, many calls.
     unsigned begins = *rc::gen::inRange(0U, 1U << programs.size());
     c.load(i);
@@ -27,7 +27,7 @@
 {
     const bool sound = *rc::gen::inRange(0, 4) > 0;
     c.step(i, *rc::gen::inRange(0, 4),
-           sound ? fault::None : fault(*rc::gen::inRange(0, faultKinds)));
+           sound ? fault::None : fault(*rc::gen::inRange(0, faultCount)));
 }
 
 /// Starts of daemons, drains and the steps of both: nothing that fails but messages.
@@ -56,7 +56,7 @@
     case 7:
         c.round(i);
         if (draining.count(i) > 0U)
-            c.goOnDraining(i);
+            c.continueDrain(i);
         return;
     default:
         return ownerStep(c, i);
@@ -79,7 +79,7 @@
         for (int i = 0; i < size; ++i) {
             c.round(i);
             c.load(i);
-            for (const program_id &id : somePrograms())
+            for (const program_id &id : testPrograms())
                 c.endCall(i, id);
             if (c.at(i).logic && c.at(i).logic->isActive(c.now()))
                 RC_ASSERT(c.at(i).running.empty());
@@ -89,7 +89,7 @@
         for (int n = 0; n < 40; ++n) {
             settle(c, size);
             for (const int i : draining)
-                c.goOnDraining(i);
+                c.continueDrain(i);
         }
         for (const member &m : c.table().view.members) {
             RC_ASSERT(draining.count(m.daemon.value[0] - 'a') == 0U);
--- a/test/process/operators_test.cpp
+++ b/test/process/operators_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr duration inForceLimit = seconds(5);
+constexpr duration activationLimit = seconds(5);
 
 struct command_result
 {
@@ -69,8 +69,8 @@
 /// \brief When a daemon was seen to decide by the old version last, and by the new one first.
 struct switch_times
 {
-    time_point lastOldSentAt = time_point::min();
-    time_point firstNewReceivedAt = time_point::max();
+    time_point lastOldRequestAt = time_point::min();
+    time_point firstNewResponseAt = time_point::max();
 };
 
 /// \brief Asks \p daemon once which version decides.
@@ -83,9 +83,9 @@
     const boost::json::value body = boost::json::parse(r.body);
     const boost::json::value *decided = body.as_object().if_contains("in_force_version");
     if (decided && decided->to_number<std::int64_t>() >= newVersion)
-        times.firstNewReceivedAt = std::min(times.firstNewReceivedAt, runtime_clock::now());
+        times.firstNewResponseAt = std::min(times.firstNewResponseAt, runtime_clock::now());
     else if (decided)
-        times.lastOldSentAt = sentAt;
+        times.lastOldRequestAt = sentAt;
 }
 
 } // namespace
@@ -112,15 +112,15 @@
         for (const std::string &d : daemons)
             observe(c, d, 2, seen[d]);
         return std::all_of(daemons.begin(), daemons.end(), [&](const std::string &d) {
-            return seen[d].firstNewReceivedAt != time_point::max();
+            return seen[d].firstNewResponseAt != time_point::max();
         });
     };
     const auto connected = paused.empty() ? c.daemons() : c.others(paused);
     c.waitFor("the preset is in force", [&] { return allSwitched(connected); });
     time_point lastSwitch = before;
     for (const std::string &d : connected)
-        lastSwitch = std::max(lastSwitch, seen[d].firstNewReceivedAt);
-    CHECK(lastSwitch - before <= inForceLimit);
+        lastSwitch = std::max(lastSwitch, seen[d].firstNewResponseAt);
+    CHECK(lastSwitch - before <= activationLimit);
     if (!paused.empty()) {
         c.process(paused).signal(SIGCONT);
         c.waitFor("the paused daemon follows", [&] { return allSwitched({paused}); });
@@ -128,8 +128,8 @@
     time_point lastOld = time_point::min();
     time_point firstNew = time_point::max();
     for (const auto &[daemon, times] : seen) {
-        lastOld = std::max(lastOld, times.lastOldSentAt);
-        firstNew = std::min(firstNew, times.firstNewReceivedAt);
+        lastOld = std::max(lastOld, times.lastOldRequestAt);
+        firstNew = std::min(firstNew, times.firstNewResponseAt);
     }
     CHECK(lastOld < firstNew);
     MESSAGE("accepted to last daemon's first seen use: "
